--- a/components/admit/src/lib.rs
+++ b/components/admit/src/lib.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Cost that an item is charged before its run time is known.
-pub const COST: Duration = Duration::from_millis(1);
+pub const INITIAL_COST: Duration = Duration::from_millis(1);
 
 /// Virtual time that one microsecond costs at weight one.
 const SCALE: u64 = 1_000;
@@ -117,12 +117,12 @@
         self.sweep();
     }
 
-    /// Charges a flow for run time beyond [`COST`].
+    /// Charges a flow for run time beyond [`INITIAL_COST`].
     pub fn charge(&mut self, key: K, run: Duration) {
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
-        let cost = price(run.saturating_sub(COST), flow.weight);
+        let cost = price(run.saturating_sub(INITIAL_COST), flow.weight);
         if self.ready.remove(&(flow.tag, key)) {
             self.ready.insert((flow.tag + cost, key));
         }
@@ -146,7 +146,7 @@
         self.len -= 1;
         let flow = self.flows.get_mut(&key).expect("a ready flow is known");
         flow.items.pop_front();
-        flow.tag = tag + price(COST, flow.weight);
+        flow.tag = tag + price(INITIAL_COST, flow.weight);
         if !flow.items.is_empty() {
             self.ready.insert((flow.tag, key));
         }
--- a/components/keeper/src/cycle.rs
+++ b/components/keeper/src/cycle.rs
@@ -36,7 +36,7 @@
             return;
         };
         let wait = self.servers.get(conn.server).map_or(0, |server| server.failures);
-        let wait = self.backoff.wait(wait);
+        let wait = self.backoff.delay(wait);
         if let Some(server) = self.servers.get_mut(conn.server) {
             if conn.work == Work::Opening {
                 server.failures += 1;
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -137,7 +137,7 @@
             mark: mark.map(Into::into),
             replica: done && !attempt.primary,
             server: server.map_or_else(String::new, |server| server.name.to_string()),
-            retry_after_ms: self.backoff.spread(retry_after).as_millis() as u64,
+            retry_after_ms: self.backoff.jitter(retry_after).as_millis() as u64,
         }
     }
 
@@ -189,11 +189,11 @@
         if request.parts > 0 || now >= request.deadline {
             return false;
         }
-        let spent = self.services.get_mut(request.service).is_none_or(|s| !s.budget.spend());
+        let spent = self.services.get_mut(request.service).is_none_or(|s| !s.budget.withdraw());
         if spent {
             return false;
         }
-        let wait = self.backoff.wait(request.tries);
+        let wait = self.backoff.delay(request.tries);
         request.tries += 1;
         request.attempt = Attempt { status: IDLE, ..Attempt::default() };
         request.stage = Stage::Backoff(now + wait);
--- a/components/keeper/src/intake.rs
+++ b/components/keeper/src/intake.rs
@@ -56,7 +56,7 @@
         self.numbers.insert((front, number), key);
         if let Some(service) = self.services.get_mut(service) {
             service.open += 1;
-            service.budget.earn();
+            service.budget.deposit();
         }
         self.enqueue(now, key, pinned);
         if self.would_wait_too_long(now, key) {
--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -251,7 +251,7 @@
     ) -> impl Iterator<Item = Candidate<Key<Server>>> {
         let candidate = |(key, server, mark): (Key<Server>, &Server, Option<Mark>)| Candidate {
             server: key,
-            near: server.zone == self.zone && !self.is_solo(),
+            same_zone: server.zone == self.zone && !self.is_solo(),
             free: if now < server.full_until { 0 } else { self.ready_slots(key) },
             waiting: server.urgent.len() as u32,
             mark,
--- a/components/keeper/src/solo.rs
+++ b/components/keeper/src/solo.rs
@@ -140,7 +140,7 @@
         let same = self.named == setup.primary;
         let leaves = old.and_then(|key| self.servers.get(key)).is_some_and(|s| s.leaving);
         if self.solo.is_none() {
-            self.ring = Ring::spaced(SAMPLE_SPACING);
+            self.ring = Ring::with_spacing(SAMPLE_SPACING);
         }
         let solo = self.solo.get_or_insert_default();
         solo.index = told.index;
@@ -240,7 +240,7 @@
             history: History::default(),
             version: solo.reports,
         };
-        if !primary && let Some(sample) = self.ring.shown(&status) {
+        if !primary && let Some(sample) = self.ring.last_shown(&status) {
             let lag = now.since(sample.taken);
             server.lag = Lag { lag: (server.lag.lag * 3 + lag) / 4, seen: now };
         }
--- a/components/member/src/core.rs
+++ b/components/member/src/core.rs
@@ -9,7 +9,7 @@
 use base::prelude::*;
 use bytes::Bytes;
 use control::{Leader, Past, State};
-use quorum::{Event, Part, Replica};
+use quorum::{Event, Leadership, Replica};
 use slog::{Logger, crit, info};
 use telemetry::Health;
 use tokio::sync::mpsc;
@@ -34,7 +34,7 @@
 
 /// Ticks of the quorum between two of the control leader.
 const CONTROL_TICKS: u64 =
-    control::leader::TICK.as_micros() as u64 / quorum::TICK.as_micros() as u64;
+    control::leader::TICK.as_micros() as u64 / quorum::TICK_INTERVAL.as_micros() as u64;
 
 /// Ticks between two beacons.
 const BEACON_TICKS: u64 = 20;
@@ -53,7 +53,7 @@
     pub(crate) fresh: Arc<AtomicBool>,
     pub(crate) replica: Replica,
     pub(crate) state: State,
-    pub(crate) part: Part,
+    pub(crate) part: Leadership,
     /// Decides for the state while this member leads.
     pub(crate) leader: Option<Leader>,
     pub(crate) writes: Writes,
@@ -99,7 +99,7 @@
 impl Core {
     /// Runs until the inputs end, the disk fails or a planned stop is over.
     pub(crate) async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
-        let mut tick = tokio::time::interval(quorum::TICK);
+        let mut tick = tokio::time::interval(quorum::TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut burst = Vec::with_capacity(BURST);
         self.links.keep(self.replica.members());
--- a/components/member/src/effects.rs
+++ b/components/member/src/effects.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use base::prelude::*;
-use quorum::{Effect, Part};
+use quorum::{Effect, Leadership};
 use slog::info;
 use wire::quorum::Message;
 use wire::quorum::message::Body;
@@ -48,7 +48,7 @@
                     beacons.keep(listed);
                 }
             }
-            Effect::Part(part) => self.play(part),
+            Effect::Leadership(part) => self.play(part),
         }
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    fn play(&mut self, part: Part) {
+    fn play(&mut self, part: Leadership) {
         info!(self.log, "plays a part"; "term" => part.term, "leads" => part.leads,
             "leader" => part.leader.and_then(|id| self.name_of(id)));
         let led = part.leader.is_some();
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -217,7 +217,7 @@
             Origin::Seeds(seeds) => Some(seeds.tolerance),
         };
         let voters = tolerance.map_or(usize::MAX, roster::voters);
-        let quorum = quorum::Settings { voters, ..quorum::Settings::new(own.id, seed) };
+        let quorum = quorum::Settings { max_voters: voters, ..quorum::Settings::new(own.id, seed) };
         let replica = Replica::new(now, quorum, opened.stored);
         let fresh = Arc::new(AtomicBool::new(replica.is_fresh()));
         let cut = Arc::new(AtomicBool::new(false));
@@ -258,7 +258,7 @@
             fresh,
             replica,
             state,
-            part: quorum::Part::default(),
+            part: quorum::Leadership::default(),
             leader: None,
             writes: disk.writes(),
             links: Links::new(end, scope.clone()),
--- a/components/member/src/meter.rs
+++ b/components/member/src/meter.rs
@@ -46,7 +46,7 @@
 
     /// Sets the gauges.
     pub(crate) fn set(&self, replica: &Replica, followers: usize) {
-        let part = replica.part();
+        let part = replica.leadership();
         self.term.set(part.term);
         self.commit.set(replica.commit());
         self.leads.set(u64::from(part.leads));
--- a/components/quorum/src/change.rs
+++ b/components/quorum/src/change.rs
@@ -13,7 +13,7 @@
 use crate::replica::{Replica, Role};
 
 /// Number of voters that make a quorum.
-pub fn quorum(voters: usize) -> usize {
+pub fn quorum_size(voters: usize) -> usize {
     voters / 2 + 1
 }
 
@@ -155,7 +155,7 @@
             }
         }
         let voters = members.members.iter().filter(|member| member.voter).count();
-        if voters >= self.settings.voters {
+        if voters >= self.settings.max_voters {
             return None;
         }
         let mut more = members.clone();
@@ -172,6 +172,6 @@
     fn would_work(&self, now: Instant, members: &Members) -> bool {
         let voters = || members.members.iter().filter(|member| member.voter);
         let heard = voters().filter(|member| self.hears(now, member.id)).count();
-        voters().count() > 0 && heard >= quorum(voters().count())
+        voters().count() > 0 && heard >= quorum_size(voters().count())
     }
 }
--- a/components/quorum/src/elect.rs
+++ b/components/quorum/src/elect.rs
@@ -15,7 +15,7 @@
 use crate::hold::{Hard, Item};
 use crate::lead::Lead;
 use crate::replica::{Replica, Role};
-use crate::{ELECTION_MIN, HEARTBEAT, RETRY_MAX, RETRY_MIN};
+use crate::{ELECTION_RETRY_MAX, ELECTION_RETRY_MIN, ELECTION_TIMEOUT_MIN, HEARTBEAT_INTERVAL};
 
 impl Replica {
     /// Starts an election, with a pre-vote.
@@ -67,7 +67,7 @@
             Role::Asking { votes } => (self.hard.term + 1, votes, None),
             Role::Follower | Role::Leader(_) => return,
         };
-        if now.since(self.asked) < HEARTBEAT {
+        if now.since(self.asked) < HEARTBEAT_INTERVAL {
             return;
         }
         let missing = self.peers().into_iter().filter(|id| !votes.contains(id));
@@ -148,7 +148,8 @@
     /// After a refusal, stands again soon: a split vote must not cost a whole
     /// timeout, and a pre-vote that comes too early costs nothing.
     fn hasten(&mut self, now: Instant) {
-        let (min, max) = (RETRY_MIN.as_micros() as u64, RETRY_MAX.as_micros() as u64);
+        let (min, max) =
+            (ELECTION_RETRY_MIN.as_micros() as u64, ELECTION_RETRY_MAX.as_micros() as u64);
         let soon = now + Duration::from_micros(self.rng.random_range(min..=max));
         self.deadline = self.deadline.min(soon);
     }
@@ -171,7 +172,7 @@
     /// Whether this member leads or has heard a leader just now.
     pub(crate) fn hears_leader(&self, now: Instant) -> bool {
         let leads = matches!(self.role, Role::Leader(_));
-        leads || (self.leader.is_some() && now.since(self.heard) < ELECTION_MIN)
+        leads || (self.leader.is_some() && now.since(self.heard) < ELECTION_TIMEOUT_MIN)
     }
 
     /// Whether a candidate's log is at least as new as this one.
@@ -208,7 +209,7 @@
 
     /// Number of voters that make a quorum.
     pub(crate) fn quorum(&self) -> usize {
-        crate::quorum(self.voters().count())
+        crate::quorum_size(self.voters().count())
     }
 
     pub(crate) fn voters(&self) -> impl Iterator<Item = &Member> {
--- a/components/quorum/src/event.rs
+++ b/components/quorum/src/event.rs
@@ -30,13 +30,13 @@
     /// Seed of the timers' jitter; another one at each start.
     pub seed: u64,
     /// Entries kept in memory behind a snapshot.
-    pub keep: u64,
+    pub kept_entries: u64,
     /// Entries in one message.
-    pub batch: usize,
+    pub batch_entries: usize,
     /// Length of a piece of a snapshot in bytes.
-    pub piece: usize,
+    pub piece_bytes: usize,
     /// Learners beyond this many voters get no vote until a voter is gone.
-    pub voters: usize,
+    pub max_voters: usize,
     /// A rule to break, in tests only.
     pub flaw: Option<Flaw>,
 }
@@ -47,10 +47,10 @@
         Self {
             id,
             seed,
-            keep: KEPT_ENTRIES,
-            batch: BATCH_ENTRIES,
-            piece: PIECE_BYTES,
-            voters: usize::MAX,
+            kept_entries: KEPT_ENTRIES,
+            batch_entries: BATCH_ENTRIES,
+            piece_bytes: PIECE_BYTES,
+            max_voters: usize::MAX,
             flaw: None,
         }
     }
@@ -162,12 +162,12 @@
     /// The membership changed; it may not be committed yet.
     Members(Members),
     /// The member's part, or the leader that it knows, changed.
-    Part(Part),
+    Leadership(Leadership),
 }
 
 /// The part that a member plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct Leadership {
     /// Its term.
     pub term: u64,
     /// The leader it knows of.
--- a/components/quorum/src/lead.rs
+++ b/components/quorum/src/lead.rs
@@ -15,7 +15,7 @@
 use crate::read::Rounds;
 use crate::replica::{Replica, Role};
 use crate::seen::Seen;
-use crate::{ELECTION_MAX, HEARTBEAT, QUORUM_TIMEOUT, WINDOW_ENTRIES};
+use crate::{ELECTION_TIMEOUT_MAX, HEARTBEAT_INTERVAL, QUORUM_TIMEOUT, WINDOW_ENTRIES};
 
 /// What a leader knows of another member.
 #[derive(Debug)]
@@ -125,7 +125,7 @@
     /// Sends a heartbeat, with what is due, to all.
     pub(crate) fn beat(&mut self, now: Instant) {
         let Some(lead) = self.leading() else { return };
-        lead.beat_at = now + HEARTBEAT;
+        lead.beat_at = now + HEARTBEAT_INTERVAL;
         for peer in self.peers() {
             self.feed(peer, true);
         }
@@ -183,7 +183,8 @@
         }
         let prev_index = peer.next - 1;
         let from = peer.next;
-        let entries = if open { self.log.batch(from, self.settings.batch) } else { Vec::new() };
+        let entries =
+            if open { self.log.batch(from, self.settings.batch_entries) } else { Vec::new() };
         let prev_term = self.log.term(prev_index).unwrap_or_default();
         let sent = entries.len() as u64;
         if let Some(peer) = self.leading().and_then(|lead| lead.peers.get_mut(&to)) {
@@ -208,7 +209,7 @@
         let snapshot = self.log.snapshot();
         let length = snapshot.data.len() as u64;
         let start = offset.min(length) as usize;
-        let end = (start + self.settings.piece).min(snapshot.data.len());
+        let end = (start + self.settings.piece_bytes).min(snapshot.data.len());
         let piece = Piece {
             index: snapshot.index,
             term: snapshot.term,
@@ -365,7 +366,7 @@
         let matched = |id: u64| lead.peers.get(&id).map(|peer| peer.matched);
         let others = self.voters().map(|member| member.id).filter(|id| *id != own);
         let best = others.max_by_key(|id| matched(*id));
-        let until = now + ELECTION_MAX;
+        let until = now + ELECTION_TIMEOUT_MAX;
         if let Some(lead) = self.leading() {
             lead.transfer = best.map(|best| (best, until));
         }
--- a/components/quorum/src/lib.rs
+++ b/components/quorum/src/lib.rs
@@ -9,7 +9,7 @@
 //!   [`Event::Persisted`] with its token. The replica itself holds back every
 //!   message that rests on a write, so other effects need no order among them.
 //! - After a failed write the replica must not be used any more.
-//! - [`Event::Tick`] comes about every [`TICK`].
+//! - [`Event::Tick`] comes about every [`TICK_INTERVAL`].
 //! - A data folder's id is drawn at random when the folder is made: a member
 //!   that lost its disk comes back as another one, never with a forgotten vote.
 //! - A number of a proposal or read is never used again, also over restarts of
@@ -28,36 +28,36 @@
 
 use base::prelude::*;
 
-pub use change::quorum;
-pub use event::{Change, Effect, Event, Flaw, Part, Settings, Stored};
+pub use change::quorum_size;
+pub use event::{Change, Effect, Event, Flaw, Leadership, Settings, Stored};
 pub use hold::{Hard, Write};
 pub use log::Snapshot;
 pub use replica::Replica;
 
 /// Pace of [`Event::Tick`].
-pub const TICK: Duration = Duration::from_millis(10);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Pace of heartbeats.
-pub const HEARTBEAT: Duration = Duration::from_millis(50);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Shortest silence of a leader before a member campaigns.
-pub const ELECTION_MIN: Duration = Duration::from_millis(150);
+pub const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(150);
 
 /// Longest silence of a leader before a member campaigns.
-pub const ELECTION_MAX: Duration = Duration::from_millis(300);
+pub const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(300);
 
 /// Shortest wait of a refused candidate before it stands again.
-pub const RETRY_MIN: Duration = Duration::from_millis(20);
+pub const ELECTION_RETRY_MIN: Duration = Duration::from_millis(20);
 
 /// Longest wait of a refused candidate before it stands again.
-pub const RETRY_MAX: Duration = Duration::from_millis(100);
+pub const ELECTION_RETRY_MAX: Duration = Duration::from_millis(100);
 
 /// Time without word of a quorum after which a leader steps down.
-pub const QUORUM_TIMEOUT: Duration = ELECTION_MAX;
+pub const QUORUM_TIMEOUT: Duration = ELECTION_TIMEOUT_MAX;
 
 /// A gap between ticks after which silence proves nothing: this process was
 /// not running itself.
-pub const STALL: Duration = Duration::from_millis(100);
+pub const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Entries in one message, in bytes.
 pub const BATCH_BYTES: usize = 512 << 10;
--- a/components/quorum/src/read.rs
+++ b/components/quorum/src/read.rs
@@ -9,7 +9,7 @@
 use wire::quorum::message::Body;
 use wire::quorum::{Confirmed, Read};
 
-use crate::HEARTBEAT;
+use crate::HEARTBEAT_INTERVAL;
 use crate::event::{Effect, Flaw};
 use crate::replica::{Replica, Role};
 
@@ -93,7 +93,7 @@
 
     /// Sends a batch again that was not answered.
     pub(crate) fn ask_again(&mut self, now: Instant) {
-        if !self.asks.sent.is_empty() && now.since(self.asks.sent_at) >= HEARTBEAT {
+        if !self.asks.sent.is_empty() && now.since(self.asks.sent_at) >= HEARTBEAT_INTERVAL {
             self.send_asks(now);
         }
     }
--- a/components/quorum/src/replica.rs
+++ b/components/quorum/src/replica.rs
@@ -9,12 +9,12 @@
 use wire::quorum::message::Body;
 use wire::quorum::{Entry, Members, Message, propose};
 
-use crate::event::{Effect, Event, Flaw, Part, Settings, Stored};
+use crate::event::{Effect, Event, Flaw, Leadership, Settings, Stored};
 use crate::hold::{Hard, Hold, Item};
 use crate::lead::Lead;
 use crate::log::Log;
 use crate::read::Asks;
-use crate::{ELECTION_MAX, ELECTION_MIN, STALL};
+use crate::{ELECTION_TIMEOUT_MAX, ELECTION_TIMEOUT_MIN, STALL_THRESHOLD};
 
 #[derive(Debug)]
 pub(crate) enum Role {
@@ -46,7 +46,7 @@
     pub(crate) incoming: Option<crate::follow::Incoming>,
     pub(crate) out: Vec<Effect>,
     told_members: Members,
-    told_part: Part,
+    told_leadership: Leadership,
 }
 
 impl Replica {
@@ -75,7 +75,7 @@
             incoming: None,
             out: Vec::new(),
             told_members: Members::default(),
-            told_part: Part::default(),
+            told_leadership: Leadership::default(),
         };
         replica.reset_deadline(now);
         replica
@@ -105,9 +105,9 @@
     }
 
     /// The part it plays.
-    pub fn part(&self) -> Part {
+    pub fn leadership(&self) -> Leadership {
         let leads = matches!(self.role, Role::Leader(_));
-        Part { term: self.hard.term, leader: self.leader, leads }
+        Leadership { term: self.hard.term, leader: self.leader, leads }
     }
 
     /// The newest membership, committed or not.
@@ -163,10 +163,10 @@
             self.told_members = members.clone();
             out.push(Effect::Members(members.clone()));
         }
-        let part = self.part();
-        if part != self.told_part {
-            self.told_part = part;
-            out.push(Effect::Part(part));
+        let leadership = self.leadership();
+        if leadership != self.told_leadership {
+            self.told_leadership = leadership;
+            out.push(Effect::Leadership(leadership));
         }
         out.append(&mut self.out);
     }
@@ -192,7 +192,7 @@
     }
 
     fn tick(&mut self, now: Instant) {
-        let stalled = now.since(self.ticked) > STALL;
+        let stalled = now.since(self.ticked) > STALL_THRESHOLD;
         self.ticked = now;
         if let Role::Leader(_) = self.role {
             self.lead(now, stalled);
@@ -288,7 +288,8 @@
     }
 
     pub(crate) fn reset_deadline(&mut self, now: Instant) {
-        let (min, max) = (ELECTION_MIN.as_micros() as u64, ELECTION_MAX.as_micros() as u64);
+        let (min, max) =
+            (ELECTION_TIMEOUT_MIN.as_micros() as u64, ELECTION_TIMEOUT_MAX.as_micros() as u64);
         self.deadline = now + Duration::from_micros(self.rng.random_range(min..=max));
     }
 
@@ -309,7 +310,7 @@
         if index > self.applied {
             return;
         }
-        if let Some(snapshot) = self.log.compact(index, data, self.settings.keep) {
+        if let Some(snapshot) = self.log.compact(index, data, self.settings.kept_entries) {
             self.hold.snapshot(snapshot.clone(), false);
         }
     }
--- a/components/quorum/tests/fuzz/schedule.rs
+++ b/components/quorum/tests/fuzz/schedule.rs
@@ -259,7 +259,7 @@
     memberships.iter().all(|members| {
         let voters: Vec<_> = members.members.iter().filter(|member| member.voter).collect();
         let left = voters.iter().filter(|member| kept(member.id)).count();
-        voters.is_empty() || left >= quorum::quorum(voters.len())
+        voters.is_empty() || left >= quorum::quorum_size(voters.len())
     })
 }
 
@@ -272,7 +272,7 @@
 /// A follower that was cut off for long and returns disturbs nobody.
 fn undisturbed(world: &mut World) {
     let Some(leader) = world.leaders().first().copied() else { return };
-    let term = |world: &World| world.nodes[leader].replica.as_ref().map(|r| r.part().term);
+    let term = |world: &World| world.nodes[leader].replica.as_ref().map(|r| r.leadership().term);
     let before = term(world);
     let alone = (leader + 1) % world.nodes.len();
     let side = |place: usize| (place, u8::from(place == alone));
--- a/components/quorum/tests/fuzz/world.rs
+++ b/components/quorum/tests/fuzz/world.rs
@@ -131,8 +131,14 @@
         }
         node.life += 1;
         let voters = self.voters;
-        let settings =
-            Settings { keep, batch, piece: 16, voters, flaw, ..Settings::new(node.id, seed) };
+        let settings = Settings {
+            kept_entries: keep,
+            batch_entries: batch,
+            piece_bytes: 16,
+            max_voters: voters,
+            flaw,
+            ..Settings::new(node.id, seed)
+        };
         let stored = node.durable.clone();
         node.applied = stored.snapshot.index;
         node.digest = read_digest(&stored.snapshot.data);
@@ -205,7 +211,7 @@
 
     /// Places of members that lead, as they believe.
     pub fn leaders(&self) -> Vec<usize> {
-        let leads = |node: &Node| node.replica.as_ref().is_some_and(|r| r.part().leads);
+        let leads = |node: &Node| node.replica.as_ref().is_some_and(|r| r.leadership().leads);
         (0..self.nodes.len()).filter(|place| leads(&self.nodes[*place])).collect()
     }
 
@@ -228,8 +234,13 @@
         let members = replica.members().members.iter();
         let members: Vec<_> =
             members.map(|m| format!("{}{}", name(m.id), voter(m.voter))).collect();
-        let (part, commit, last) = (replica.part(), replica.commit(), replica.last_index());
-        format!("{} {} {part:?} commit {commit} last {last} {members:?}", name(node.id), node.name)
+        let (leadership, commit, last) =
+            (replica.leadership(), replica.commit(), replica.last_index());
+        format!(
+            "{} {} {leadership:?} commit {commit} last {last} {members:?}",
+            name(node.id),
+            node.name
+        )
     }
 
     /// Lets time pass.
@@ -324,8 +335,13 @@
                     self.oracle.not_run(id, token);
                 }
             }
-            Effect::Part(part) if part.leads => self.oracle.leads(part.term, id),
-            Effect::Part(_) | Effect::Members(_) | Effect::Noted(_) | Effect::Refused { .. } => {}
+            Effect::Leadership(leadership) if leadership.leads => {
+                self.oracle.leads(leadership.term, id)
+            }
+            Effect::Leadership(_)
+            | Effect::Members(_)
+            | Effect::Noted(_)
+            | Effect::Refused { .. } => {}
         }
     }
 
--- a/components/retry/src/lib.rs
+++ b/components/retry/src/lib.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Tokens that a budget starts with and holds at most.
-pub const TOKENS: f64 = 10.0;
+pub const MAX_TOKENS: f64 = 10.0;
 
 /// Tokens of one service.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
 impl Budget {
     /// Makes a full budget; `share` of all requests may be tried again.
     pub fn new(share: f64) -> Self {
-        Self { tokens: TOKENS, share }
+        Self { tokens: MAX_TOKENS, share }
     }
 
     /// Changes the share and keeps the tokens.
@@ -29,12 +29,12 @@
     }
 
     /// Notes a first try.
-    pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.share).min(TOKENS);
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
     /// Takes a token for a repeat, if one is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
@@ -58,13 +58,13 @@
     }
 
     /// The wait before try number `tries`: between half and the whole of its bound.
-    pub fn wait(&mut self, tries: u32) -> Duration {
+    pub fn delay(&mut self, tries: u32) -> Duration {
         let bound = self.base.saturating_mul(1 << tries.min(16)).min(self.cap);
-        self.spread(bound)
+        self.jitter(bound)
     }
 
     /// A time between half of `bound` and `bound`.
-    pub fn spread(&mut self, bound: Duration) -> Duration {
+    pub fn jitter(&mut self, bound: Duration) -> Duration {
         bound.mul_f64(self.rng.random_range(0.5..=1.0))
     }
 }
--- a/components/route/src/lib.rs
+++ b/components/route/src/lib.rs
@@ -9,10 +9,10 @@
 use base::prelude::*;
 
 /// Samples that a [`Ring`] keeps.
-pub const SAMPLES: usize = 128;
+pub const MAX_SAMPLES: usize = 128;
 
 /// Least time between two samples of a [`Ring`].
-pub const SPACING: Duration = Duration::from_millis(5);
+pub const MIN_SPACING: Duration = Duration::from_millis(5);
 
 /// The position of a primary that a majority confirmed as current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,13 +32,13 @@
 
 impl Default for Ring {
     fn default() -> Self {
-        Self::spaced(SPACING)
+        Self::with_spacing(MIN_SPACING)
     }
 }
 
 impl Ring {
     /// Makes an empty ring with another spacing.
-    pub fn spaced(spacing: Duration) -> Self {
+    pub fn with_spacing(spacing: Duration) -> Self {
         Self { samples: VecDeque::new(), spacing }
     }
 
@@ -57,7 +57,7 @@
             self.samples.pop_back();
         }
         self.samples.push_back(sample);
-        if self.samples.len() > SAMPLES {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
     }
@@ -73,7 +73,7 @@
     }
 
     /// The youngest sample that a server shows.
-    pub fn shown(&self, status: &Status) -> Option<Sample> {
+    pub fn last_shown(&self, status: &Status) -> Option<Sample> {
         self.samples.iter().rev().copied().find(|sample| status.shows(sample.mark))
     }
 }
@@ -95,7 +95,7 @@
     let Some(since) = need.since else {
         return Some(need.floor);
     };
-    let sample = ring.shown(status).filter(|sample| sample.taken >= since)?;
+    let sample = ring.last_shown(status).filter(|sample| sample.taken >= since)?;
     Some(need.floor.max(Some(sample.mark)))
 }
 
@@ -105,7 +105,7 @@
     /// The server.
     pub server: K,
     /// Whether it stands in the keeper's own availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Slots that are free.
     pub free: u32,
     /// Statements that wait for it.
@@ -119,6 +119,6 @@
 pub fn choose<K: Copy>(candidates: impl IntoIterator<Item = Candidate<K>>) -> Option<Candidate<K>> {
     let free = candidates.into_iter().filter(|candidate| candidate.free > 0);
     free.max_by_key(|candidate| {
-        (candidate.near, candidate.free, std::cmp::Reverse(candidate.waiting))
+        (candidate.same_zone, candidate.free, std::cmp::Reverse(candidate.waiting))
     })
 }
--- a/components/route/tests/choice.rs
+++ b/components/route/tests/choice.rs
@@ -55,13 +55,19 @@
 fn many_quick_samples_do_not_push_out_older_ones() {
     let samples: Vec<_> = (0..2_000).map(|millis| (millis, 1, millis)).collect();
     let ring = ring(&samples);
-    assert!(ring.shown(&replica(1, 1_500, "1:0")).is_some());
+    assert!(ring.last_shown(&replica(1, 1_500, "1:0")).is_some());
     assert_eq!(ring.last().map(|last| last.mark), Some(Mark::new(1, 1_999)));
 }
 
 #[test]
 fn near_servers_go_first_then_free_slots_then_short_queues() {
-    let with = |server, near, free, waiting| Candidate { server, near, free, waiting, mark: None };
+    let with = |server, same_zone, free, waiting| Candidate {
+        server,
+        same_zone,
+        free,
+        waiting,
+        mark: None,
+    };
     let best = |all: &[Candidate<u8>]| choose(all.iter().copied()).map(|found| found.server);
     assert_eq!(best(&[with(1, false, 3, 0), with(2, true, 1, 9)]), Some(2));
     assert_eq!(best(&[with(1, true, 0, 0), with(2, false, 1, 0)]), Some(2));
--- a/components/session/src/token.rs
+++ b/components/session/src/token.rs
@@ -129,7 +129,7 @@
 
     /// Adds a shared key whose tokens still count.
     #[must_use]
-    pub fn with(mut self, shared: &[u8]) -> Self {
+    pub fn with_previous(mut self, shared: &[u8]) -> Self {
         self.others.push(Key::derive(shared));
         self
     }
--- a/components/session/tests/token.rs
+++ b/components/session/tests/token.rs
@@ -32,7 +32,7 @@
 #[test]
 fn can_verify_with_an_older_key() {
     let token = Keys::new(b"an older key of enough bytes").issue(&name("entry"), &floors());
-    let keys = Keys::new(KEY).with(b"an older key of enough bytes");
+    let keys = Keys::new(KEY).with_previous(b"an older key of enough bytes");
     assert_eq!(keys.verify(&name("entry"), &token).unwrap(), floors());
     assert_eq!(failure(&Keys::new(KEY), "entry", &token), Failure::Key);
 }
