--- a/components/admit/tests/fairness.rs
+++ b/components/admit/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! Shares of services under contention.
+//! Tests of the shares that services get under contention.
 
 use std::collections::BTreeMap;
 
@@ -38,21 +38,24 @@
     let weights = [1, 10, 100, 1_000];
     let found = shares(&weights, &[1_000; 4]);
     for (weight, share) in weights.iter().zip(found) {
-        let due = f64::from(*weight) / 1_111.0;
-        assert!((share - due).abs() < due * 0.1, "weight {weight} got {share}, due {due}");
+        let expected = f64::from(*weight) / 1_111.0;
+        assert!(
+            (share - expected).abs() < expected * 0.1,
+            "weight {weight} got {share}, expected {expected}"
+        );
     }
 }
 
 #[test]
 fn slow_statements_do_not_buy_a_larger_share() {
     let found = shares(&[1, 1, 8], &[1_000, 20_000, 5_000]);
-    for (share, due) in found.iter().zip([0.1, 0.1, 0.8]) {
-        assert!((share - due).abs() < due * 0.1, "got {share}, due {due}");
+    for (share, expected) in found.iter().zip([0.1, 0.1, 0.8]) {
+        assert!((share - expected).abs() < expected * 0.1, "got {share}, expected {expected}");
     }
 }
 
 #[test]
-fn an_idle_service_can_not_save_up() {
+fn an_idle_service_earns_no_credit() {
     let mut queue = Queue::new();
     for item in 0..1_000 {
         queue.push(0, 1, item);
--- a/components/retry/src/lib.rs
+++ b/components/retry/src/lib.rs
@@ -1,16 +1,17 @@
-//! How often and how soon a request may be tried again.
+//! Limits on the number and the pace of retries.
 //!
-//! A [`Budget`] lets a service repeat only a share of what it asks, so repeats
-//! can't multiply the load of a failure. [`Backoff`] spreads repeats over time.
+//! A [`Budget`] allows a service to retry only a share of its requests, so that
+//! retries can't multiply the load during a failure. [`Backoff`] spreads retries
+//! over time.
 
 use base::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Tokens that a budget starts with and holds at most.
+/// Number of tokens in a full budget. A new budget is full.
 pub const MAX_TOKENS: f64 = 10.0;
 
-/// Tokens of one service.
+/// Retry budget of one service, as a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     tokens: f64,
@@ -18,22 +19,22 @@
 }
 
 impl Budget {
-    /// Makes a full budget; `share` of all requests may be tried again.
+    /// Creates a full budget that allows retries for the given share of requests.
     pub fn new(share: f64) -> Self {
         Self { tokens: MAX_TOKENS, share }
     }
 
-    /// Changes the share and keeps the tokens.
+    /// Changes the share of requests that may be retried; the tokens stay.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Notes a first try.
+    /// Adds `share` tokens, for the first attempt of a request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
-    /// Takes a token for a repeat, if one is left.
+    /// Removes one token for a retry. Returns false if less than one token is left.
     pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -43,7 +44,7 @@
     }
 }
 
-/// Growing waits with jitter.
+/// Exponential backoff with jitter.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     base: Duration,
@@ -52,18 +53,19 @@
 }
 
 impl Backoff {
-    /// Makes waits that start at `base` and double up to `cap`.
+    /// Creates a backoff whose delays start at `base` and double up to `cap`.
     pub fn new(base: Duration, cap: Duration, seed: u64) -> Self {
         Self { base, cap, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// The wait before try number `tries`: between half and the whole of its bound.
-    pub fn delay(&mut self, tries: u32) -> Duration {
-        let bound = self.base.saturating_mul(1 << tries.min(16)).min(self.cap);
+    /// Delay before a retry: at least half of a bound, and at most the bound. The bound
+    /// doubles with each earlier attempt.
+    pub fn delay(&mut self, attempt: u32) -> Duration {
+        let bound = self.base.saturating_mul(1 << attempt.min(16)).min(self.cap);
         self.jitter(bound)
     }
 
-    /// A time between half of `bound` and `bound`.
+    /// A random duration between half of `bound` and `bound`.
     pub fn jitter(&mut self, bound: Duration) -> Duration {
         bound.mul_f64(self.rng.random_range(0.5..=1.0))
     }
--- a/components/route/src/lib.rs
+++ b/components/route/src/lib.rs
@@ -1,29 +1,32 @@
-//! Which server may serve a read, and which of those is best.
+//! Selection of the server for a read.
 //!
-//! A replica qualifies by its report alone: it shows the session's floor, and a
-//! verified sample that is young enough. The [`Ring`] keeps such samples for a
-//! short while, so the age of a replica is known without asking it again.
+//! A replica qualifies by its status report alone: the report shows that the
+//! replica has applied the session's floor and the mark of a verified sample that
+//! is recent enough. The [`Ring`] keeps recent samples, so that the staleness of
+//! a replica is known without another request to it.
 
 use std::collections::VecDeque;
 
 use base::prelude::*;
 
-/// Samples that a [`Ring`] keeps.
+/// Maximum number of samples in a [`Ring`].
 pub const MAX_SAMPLES: usize = 128;
 
-/// Least time between two samples of a [`Ring`].
+/// Default time between two samples of a [`Ring`]. Denser samples are
+/// thinned out, so that frequent ones don't push out older ones.
 pub const MIN_SPACING: Duration = Duration::from_millis(5);
 
-/// The position of a primary that a majority confirmed as current.
+/// Log position of a primary that a majority confirmed as the current primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// When the first of its requests was sent.
+    /// Time at which the first request of the sample was sent.
     pub taken: Instant,
-    /// The primary's last record; all that was acknowledged before `taken` lies at or under it.
+    /// Mark of the primary's last record. Every write acknowledged before `taken` is at or
+    /// below this mark.
     pub mark: Mark,
 }
 
-/// Samples of the last moments, oldest first.
+/// Recent samples, oldest first.
 #[derive(Clone, Debug)]
 pub struct Ring {
     samples: VecDeque<Sample>,
@@ -37,12 +40,12 @@
 }
 
 impl Ring {
-    /// Makes an empty ring with another spacing.
+    /// Creates an empty ring with the given time between samples.
     pub fn with_spacing(spacing: Duration) -> Self {
         Self { samples: VecDeque::new(), spacing }
     }
 
-    /// Takes a sample in; one that is no younger than the last is ignored.
+    /// Adds a sample. A sample that is not newer than the last one is ignored.
     pub fn push(&mut self, sample: Sample) {
         let last = self.samples.back().copied();
         if last.is_some_and(|last| sample.taken <= last.taken) {
@@ -62,7 +65,7 @@
         }
     }
 
-    /// The youngest sample.
+    /// The newest sample.
     pub fn last(&self) -> Option<Sample> {
         self.samples.back().copied()
     }
@@ -72,22 +75,23 @@
         self.samples.iter().copied().find(|sample| sample.taken >= since)
     }
 
-    /// The youngest sample that a server shows.
+    /// The newest sample whose mark a server has applied, according to its status.
     pub fn last_shown(&self, status: &Status) -> Option<Sample> {
         self.samples.iter().rev().copied().find(|sample| status.shows(sample.mark))
     }
 }
 
-/// What a read must see.
+/// Freshness that a read requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Need {
-    /// What the session has written or seen.
+    /// Newest mark that the session has written or read.
     pub floor: Option<Mark>,
-    /// Samples taken at or after this show enough; none when the floor is enough.
+    /// Earliest time of a sample that is fresh enough; none if the floor suffices.
     pub since: Option<Instant>,
 }
 
-/// Whether a server's reads see what is needed; returns the mark that the read is sure to see.
+/// Checks whether reads on a server meet a requirement. Returns none if they don't, and
+/// otherwise the mark up to which a read is guaranteed to see all writes, if one is known.
 pub fn qualify(status: &Status, need: Need, ring: &Ring) -> Option<Option<Mark>> {
     if need.floor.is_some_and(|floor| !status.shows(floor)) {
         return None;
@@ -99,23 +103,23 @@
     Some(need.floor.max(Some(sample.mark)))
 }
 
-/// A server that qualifies.
+/// A server that qualifies for a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<K> {
     /// The server.
     pub server: K,
-    /// Whether it stands in the keeper's own availability zone.
+    /// Whether the server is in the availability zone of the host that routes the read.
     pub same_zone: bool,
-    /// Slots that are free.
+    /// Number of free connection slots on the server.
     pub free: u32,
-    /// Statements that wait for it.
+    /// Number of statements that wait for the server.
     pub waiting: u32,
-    /// What a read on it is sure to see.
+    /// Mark up to which a read on the server is guaranteed to see all writes.
     pub mark: Option<Mark>,
 }
 
-/// The best of the servers with a free slot: near ones first, then the one with
-/// most free slots, then the one where fewest wait.
+/// Selects the best server among those with a free slot: first by availability
+/// zone, then by the most free slots, then by the fewest waiting statements.
 pub fn choose<K: Copy>(candidates: impl IntoIterator<Item = Candidate<K>>) -> Option<Candidate<K>> {
     let free = candidates.into_iter().filter(|candidate| candidate.free > 0);
     free.max_by_key(|candidate| {
--- a/components/route/tests/choice.rs
+++ b/components/route/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which server serves a read.
+//! Tests of the selection of a server for a read.
 
 use base::prelude::*;
 use route::{Candidate, Need, Ring, Sample, choose, qualify};
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn near_servers_go_first_then_free_slots_then_short_queues() {
+fn servers_of_the_same_zone_go_first_then_free_slots_then_short_queues() {
     let with = |server, same_zone, free, waiting| Candidate {
         server,
         same_zone,
--- a/components/session/src/lib.rs
+++ b/components/session/src/lib.rs
@@ -1,7 +1,7 @@
-//! Sessions: what a caller must be shown, and the token that carries it.
+//! Session consistency: the floors of a caller's reads, and the token that carries them.
 //!
-//! The system keeps no session. A caller holds its [`Floors`] in a token that
-//! any entry can check, so it may go to any entry at any time.
+//! The system stores no sessions. A caller holds its [`Floors`] in a token that
+//! any entry can verify, so the caller may connect to any entry at any time.
 
 pub mod floors;
 pub mod token;
--- a/components/session/src/token.rs
+++ b/components/session/src/token.rs
@@ -1,8 +1,9 @@
-//! The token that carries a session.
+//! Session tokens.
 //!
-//! It is a message and its MAC, in the base64 form for URLs. The MAC's key is
-//! derived from the key that the system's processes share, and named by an id
-//! that is derived too, so a key can be replaced while old tokens still stand.
+//! A session token is a Protocol Buffers message followed by its MAC, in URL-safe
+//! base64. The MAC key is derived from the key that the processes of the system
+//! share. The token names its key by an id that is also derived from the shared
+//! key, so a key can be replaced while earlier tokens remain valid.
 
 use std::fmt;
 
@@ -16,10 +17,10 @@
 
 use crate::floors::Floors;
 
-/// Version of the token's form.
+/// Version of the token format.
 pub const VERSION: u32 = 1;
 
-/// Longest token in bytes.
+/// Maximum length of an encoded token in bytes.
 pub const MAX_BYTES: usize = 16 << 10;
 
 /// Length of the MAC in bytes.
@@ -28,25 +29,25 @@
 const SIGN_LABEL: &[u8] = b"trefoillink session token";
 const ID_LABEL: &[u8] = b"trefoillink session key id";
 
-/// Why a token does not count.
+/// Reason why a token is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// It is no token, or was cut.
+    /// The text is not a token, or it is truncated.
     #[strum(to_string = "the session token is malformed")]
     Malformed,
-    /// It is of a version that this release does not know.
+    /// The token has a version that this release does not support.
     #[strum(to_string = "the session token is of unknown version {version}")]
     Version {
-        /// The version.
+        /// Version of the token.
         version: u32,
     },
-    /// It was made with a key that is not in use.
+    /// The token was signed with a key that is not in use.
     #[strum(to_string = "the session token was made with a key that is not in use")]
     Key,
-    /// Its MAC is wrong.
+    /// The MAC does not match the message.
     #[strum(to_string = "the session token was not made here")]
     Forged,
-    /// It belongs to another service.
+    /// The token was issued for another service.
     #[strum(to_string = "the session token belongs to another service")]
     Foreign,
 }
@@ -89,9 +90,9 @@
 
 impl Key {
     fn derive(shared: &[u8]) -> Self {
-        let sign = keyed(shared).chain_update(SIGN_LABEL).finalize().into_bytes();
-        let id = keyed(shared).chain_update(ID_LABEL).finalize().into_bytes();
-        Self { id: u32::from_be_bytes([id[0], id[1], id[2], id[3]]), mac: keyed(&sign) }
+        let sign = hmac(shared).chain_update(SIGN_LABEL).finalize().into_bytes();
+        let id = hmac(shared).chain_update(ID_LABEL).finalize().into_bytes();
+        Self { id: u32::from_be_bytes([id[0], id[1], id[2], id[3]]), mac: hmac(&sign) }
     }
 
     fn sign(&self, body: &[u8]) -> [u8; MAC_BYTES] {
@@ -104,11 +105,11 @@
     }
 }
 
-fn keyed(bytes: &[u8]) -> Hmac<Sha256> {
+fn hmac(bytes: &[u8]) -> Hmac<Sha256> {
     Hmac::<Sha256>::new_from_slice(bytes).expect("a MAC takes any key length")
 }
 
-/// Keys of tokens: the first one signs, each one verifies.
+/// Token keys: one signs new tokens, and all of them verify tokens.
 #[derive(Clone)]
 pub struct Keys {
     signing: Key,
@@ -122,19 +123,19 @@
 }
 
 impl Keys {
-    /// Derives the key that signs from the shared key.
+    /// Derives the signing key from a shared key.
     pub fn new(shared: &[u8]) -> Self {
         Self { signing: Key::derive(shared), others: SmallVec::new() }
     }
 
-    /// Adds a shared key whose tokens still count.
+    /// Adds an earlier shared key, whose tokens remain valid.
     #[must_use]
     pub fn with_previous(mut self, shared: &[u8]) -> Self {
         self.others.push(Key::derive(shared));
         self
     }
 
-    /// Makes the token of a session.
+    /// Issues a token that carries the floors of a session of a service.
     pub fn issue(&self, service: &Name, floors: &Floors) -> String {
         let body = Body {
             version: VERSION,
@@ -148,10 +149,10 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Checks a token of a service and returns its floors.
+    /// Verifies a token of a service and returns its floors.
     ///
     /// # Errors
-    /// Each [`Failure`].
+    /// Returns the [`Failure`] for which the token is rejected.
     pub fn verify(&self, service: &Name, token: &str) -> Result<Floors, Report<Failure>> {
         if token.len() > MAX_BYTES {
             return Err(Report::new(Failure::Malformed));
--- a/components/session/tests/token.rs
+++ b/components/session/tests/token.rs
@@ -1,4 +1,4 @@
-//! Tokens that count and tokens that don't.
+//! Tests of issued, rejected and mutated session tokens, and of floors.
 
 use arbtest::arbtest;
 use base::prelude::*;
@@ -66,8 +66,8 @@
     assert_eq!(floors.get("entries-3"), Some(Mark::new(1, 1)));
 }
 
-/// Schedules of one fuzz run.
-fn schedules() -> u64 {
+/// Number of seeds in one fuzz run.
+fn seed_count() -> u64 {
     std::env::var("TREFOIL_FUZZ_SCHEDULES").map_or(300, |text| text.parse().unwrap())
 }
 
@@ -75,7 +75,7 @@
 fn mutated_tokens_never_verify() {
     let keys = Keys::new(KEY);
     let token = keys.issue(&name("entry"), &floors());
-    for seed in 0..schedules() {
+    for seed in 0..seed_count() {
         arbtest(|u| {
             let mut bytes = token.clone().into_bytes();
             for _ in 0..u.int_in_range(1..=4)? {
