--- a/components/quorum/src/seen.rs
+++ b/components/quorum/src/dedup.rs
@@ -1,18 +1,19 @@
-//! Proposals that came already: a message may come twice, a proposal not.
+//! Detection of duplicate proposals. A message may be delivered twice, but its
+//! proposal must enter the log only once.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use crate::SEEN_PROPOSALS;
 
-/// The newest proposals of one member.
+/// Tokens of the most recent proposals of one member.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Tokens {
     order: VecDeque<u64>,
     known: BTreeSet<u64>,
 }
 
-impl Seen {
-    /// Adds a proposal; false when it came before.
+impl Tokens {
+    /// Adds the token of a proposal. Returns false if it is already known.
     pub(crate) fn insert(&mut self, token: u64) -> bool {
         if !self.known.insert(token) {
             return false;
--- a/components/quorum/src/event.rs
+++ b/components/quorum/src/event.rs
@@ -1,48 +1,49 @@
-//! What happens to a replica, and what it wants done.
+//! Events, effects and settings of a replica.
 
 use bytes::Bytes;
 use wire::quorum::{Entry, Member, Members, Message, Refusal};
 
-use crate::hold::{Hard, Write};
+use crate::barrier::{Hard, Write};
 use crate::log::Snapshot;
 use crate::{BATCH_ENTRIES, KEPT_ENTRIES, PIECE_BYTES};
 
-/// A deliberate break of one rule, by which tests check their own checks.
+/// Deliberate violation of one rule of the protocol, with which tests verify that
+/// their checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 pub enum Flaw {
-    /// Answers before the disk does.
+    /// Sends messages before the writes they depend on are durable.
     Unsynced,
-    /// Counts the copies and votes of learners.
+    /// Counts learners towards a quorum.
     Learner,
-    /// Raises the term without a pre-vote.
+    /// Starts an election without a pre-vote.
     NoPreVote,
     /// Confirms reads without a heartbeat round.
     LocalRead,
-    /// Commits entries of earlier terms by counting copies.
+    /// Commits entries of earlier terms by counting replicas.
     OldTerm,
 }
 
 /// Settings of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The member's id; not zero.
+    /// Id of the member; never zero.
     pub id: u64,
-    /// Seed of the timers' jitter; another one at each start.
+    /// Seed of the random timeouts; must differ at each start.
     pub seed: u64,
-    /// Entries kept in memory behind a snapshot.
+    /// Number of entries kept in memory before the index of a snapshot.
     pub kept_entries: u64,
-    /// Entries in one message.
+    /// Maximum number of entries in one message.
     pub batch_entries: usize,
-    /// Length of a piece of a snapshot in bytes.
+    /// Maximum length of a piece of a snapshot, in bytes.
     pub piece_bytes: usize,
-    /// Learners beyond this many voters get no vote until a voter is gone.
+    /// Maximum number of voters. Further learners are promoted only after a voter has left.
     pub max_voters: usize,
-    /// A rule to break, in tests only.
+    /// Rule to violate; set in tests only.
     pub flaw: Option<Flaw>,
 }
 
 impl Settings {
-    /// The settings of a member but for its id and seed.
+    /// Creates the default settings for a member with the given id and seed.
     pub fn new(id: u64, seed: u64) -> Self {
         Self {
             id,
@@ -56,122 +57,122 @@
     }
 }
 
-/// What the disk held at the start.
+/// State that the disk held at the start.
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
-    /// Term and vote.
+    /// Hard state: the current term and the vote in that term.
     pub hard: Hard,
-    /// Newest snapshot; the default one stands for none.
+    /// Newest snapshot; the default value if there is none.
     pub snapshot: Snapshot,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// What happens to a replica.
+/// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Passage of time.
     Tick,
-    /// A message came.
+    /// Message from another member.
     Message(Message),
-    /// The write with this token and all before it are synced.
+    /// Token of a write that is synced together with all earlier writes.
     Persisted(u64),
-    /// A command is proposed, under a number of its own.
+    /// Proposal of a command.
     Propose {
-        /// The number.
+        /// Unique token of the proposal.
         token: u64,
-        /// The encoded command.
+        /// Encoded command.
         command: Bytes,
     },
-    /// A change of membership is proposed, under a number of its own.
+    /// Proposal of a membership change.
     Change {
-        /// The number.
+        /// Unique token of the proposal.
         token: u64,
-        /// The change.
+        /// Requested change.
         change: Change,
     },
-    /// A confirmed read is asked for.
+    /// Request for a linearizable read.
     Read {
-        /// Number of the read.
+        /// Unique token of the read.
         token: u64,
-        /// What the leader must have heard before it confirms.
+        /// Note that the leader must receive before it confirms the read.
         note: Option<Bytes>,
     },
-    /// The host's state at an applied index, to shorten the log with.
+    /// Application state at an applied index, as a snapshot for log compaction.
     Compact {
-        /// The index.
+        /// Index up to which the state includes the log.
         index: u64,
-        /// The encoded state.
+        /// Encoded state.
         data: Bytes,
     },
-    /// A log without entries gets its first membership.
+    /// First membership, for an empty log.
     Bootstrap(Members),
-    /// The member stops soon: another is to lead.
+    /// Request to transfer the leadership, because this member is about to stop.
     Transfer,
 }
 
-/// A change of membership.
+/// Change of the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Adds a member: a learner until it has caught up. A member of the same
-    /// name and another id is replaced by it.
+    /// Adds a member, as a learner until it has caught up. A member with the same
+    /// name and another id is replaced by the new one.
     Add(Member),
     /// Removes the member with this id.
     Remove(u64),
 }
 
-/// What the host carries out.
+/// Output of a replica, carried out by the program that embeds it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write to the disk, in order.
+    /// Write to the disk, in the order of the tokens.
     Persist(Write),
-    /// Send a message; it may be lost.
+    /// Send a message to another member; delivery is not required.
     Send(Message),
-    /// Apply a committed entry; they come in order.
+    /// Apply a committed entry; entries arrive in the order of the log.
     Apply(Entry),
-    /// Put a snapshot in place of the host's state.
+    /// Replace the application state by a snapshot.
     Restore(Snapshot),
-    /// A read is confirmed: apply up to the index, then answer.
+    /// Confirmation of a read, which may be answered once the index is applied.
     Confirmed {
-        /// Number of the read.
+        /// Unique token of the read.
         token: u64,
-        /// The index.
+        /// Index to apply before the read is answered.
         index: u64,
     },
-    /// A read is not confirmed; it may be asked again.
+    /// Failure of a read, which may be requested again.
     Unconfirmed {
-        /// Number of the read.
+        /// Unique token of the read.
         token: u64,
     },
-    /// A note that came with a read, at the leader, before it is confirmed.
+    /// Note of a read, at the leader, before the read is confirmed.
     Noted(Bytes),
-    /// A proposal is given up.
+    /// Loss of a proposal.
     Dropped {
-        /// Number of the proposal.
+        /// Unique token of the proposal.
         token: u64,
-        /// Whether it surely never reaches the log.
+        /// Whether the proposal is guaranteed never to reach the log.
         not_run: bool,
     },
-    /// A change of membership is refused.
+    /// Refusal of a membership change.
     Refused {
-        /// Number of the proposal.
+        /// Unique token of the proposal.
         token: u64,
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// The membership changed; it may not be committed yet.
+    /// Newest membership after a change, possibly not yet committed.
     Members(Members),
-    /// The member's part, or the leader that it knows, changed.
+    /// Term, leader and role of the member, after one of them changed.
     Leadership(Leadership),
 }
 
-/// The part that a member plays.
+/// Leadership as one member knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
-    /// Its term.
+    /// Current term of the member.
     pub term: u64,
-    /// The leader it knows of.
+    /// Id of the leader in this term, if the member knows one.
     pub leader: Option<u64>,
-    /// Whether it leads.
+    /// Whether the member itself is the leader.
     pub leads: bool,
 }
--- a/components/quorum/src/follow.rs
+++ b/components/quorum/src/follower.rs
@@ -1,4 +1,4 @@
-//! A follower's side: entries and snapshots that come from the leader.
+//! Follower role: entries and snapshots from the leader.
 
 use bytes::{Bytes, BytesMut};
 use wire::quorum::message::Body;
@@ -8,7 +8,7 @@
 use crate::log::Snapshot;
 use crate::replica::Replica;
 
-/// A snapshot that comes in pieces.
+/// Snapshot of which some pieces have arrived.
 #[derive(Debug)]
 pub(crate) struct Incoming {
     term: u64,
@@ -17,15 +17,15 @@
 }
 
 impl Replica {
-    /// Tells a leader of an earlier term of the present one.
-    pub(crate) fn deny(&mut self, to: u64) {
+    /// Rejects the message of a leader of an earlier term; the answer carries the current term.
+    pub(crate) fn reject_stale_leader(&mut self, to: u64) {
         let denied = Appended { matched: false, index: self.log.last_index(), round: 0 };
         self.send_durable(to, Body::Appended(denied));
     }
 
     pub(crate) fn on_append(&mut self, from: u64, append: Append) {
         let round = append.round;
-        if !self.fits(append.prev_index, append.prev_term) {
+        if !self.has_matching_entry(append.prev_index, append.prev_term) {
             let index = self.log.last_index().min(append.prev_index.saturating_sub(1));
             let index = self.last_of_earlier_term(index, append.prev_term);
             self.send_durable(from, Body::Appended(Appended { matched: false, index, round }));
@@ -33,14 +33,14 @@
         }
         let matched = append.prev_index + append.entries.len() as u64;
         for entry in append.entries {
-            self.take(entry);
+            self.append_entry(entry);
         }
         self.commit_to(append.commit.min(matched));
         let appended = Appended { matched: true, index: matched, round };
         self.send_durable(from, Body::Appended(appended));
     }
 
-    fn take(&mut self, entry: wire::quorum::Entry) {
+    fn append_entry(&mut self, entry: wire::quorum::Entry) {
         if entry.index <= self.log.base() || entry.index <= self.commit {
             return;
         }
@@ -48,19 +48,20 @@
             Some(term) if term == entry.term => return,
             Some(_) => {
                 self.log.truncate(entry.index);
-                self.hold.truncate(entry.index);
+                self.barrier.truncate(entry.index);
             }
             None => {}
         }
-        self.hold.entry(entry.clone());
+        self.barrier.push_entry(entry.clone());
         self.log.push(entry);
     }
 
-    fn fits(&self, index: u64, term: u64) -> bool {
+    fn has_matching_entry(&self, index: u64, term: u64) -> bool {
         index <= self.commit || self.log.term(index) == Some(term)
     }
 
-    /// The last index at or before one whose term is not past the given term.
+    /// Last index, at or before the given one, of an entry whose term is not above the given
+    /// term; at least the commit index.
     fn last_of_earlier_term(&self, mut index: u64, term: u64) -> u64 {
         while index > self.commit && self.log.term(index).is_some_and(|own| own > term) {
             index -= 1;
@@ -74,7 +75,7 @@
             self.send_durable(from, Body::Pieced(Pieced { index, offset: 0, done: true }));
             return;
         }
-        let offset = self.collect(&piece);
+        let offset = self.append_piece(&piece);
         if offset < piece.length {
             self.send(from, Body::Pieced(Pieced { index, offset, done: false }));
             return;
@@ -85,11 +86,12 @@
         self.send_durable(from, Body::Pieced(Pieced { index, offset, done: true }));
     }
 
-    /// Adds a piece that fits, and returns the offset that is needed next.
-    fn collect(&mut self, piece: &Piece) -> u64 {
+    /// Appends a piece if it is the next one, and returns the offset of the next piece.
+    fn append_piece(&mut self, piece: &Piece) -> u64 {
         let term = self.hard.term;
-        let known = self.incoming.as_ref();
-        let same = known.is_some_and(|known| known.term == term && known.index == piece.index);
+        let current = self.incoming.as_ref();
+        let same =
+            current.is_some_and(|current| current.term == term && current.index == piece.index);
         if !same {
             self.incoming = Some(Incoming { term, index: piece.index, bytes: BytesMut::new() });
         }
@@ -103,8 +105,8 @@
     fn restore(&mut self, index: u64, term: u64, members: Members, data: Bytes) {
         let snapshot = Snapshot { index, term, members, data };
         self.log.restore(snapshot.clone());
-        self.hold.truncate(self.commit + 1);
-        self.hold.snapshot(snapshot.clone(), true);
+        self.barrier.truncate(self.commit + 1);
+        self.barrier.set_snapshot(snapshot.clone(), true);
         self.commit = index;
         self.applied = index;
         for token in std::mem::take(&mut self.proposals) {
--- a/components/quorum/src/lead.rs
+++ b/components/quorum/src/leader.rs
@@ -1,7 +1,7 @@
-//! A leader's side: heartbeats, entries to the others, and what is committed.
+//! Leader role: heartbeats, replication of entries, and the commit index.
 //!
-//! Only an entry of the leader's own term is committed by counting copies, so
-//! a new leader writes an empty one first. A leader that has not heard from a
+//! Only an entry of the leader's own term is committed by counting replicas, so
+//! a new leader first appends an empty entry. A leader without contact from a
 //! quorum for [`QUORUM_TIMEOUT`] steps down.
 
 use std::collections::BTreeMap;
@@ -11,74 +11,80 @@
 use wire::quorum::message::Body;
 use wire::quorum::{Append, Appended, Campaign, Entry, Piece, Pieced, Propose, entry, propose};
 
+use crate::dedup::Tokens;
 use crate::event::{Effect, Flaw};
 use crate::read::Rounds;
 use crate::replica::{Replica, Role};
-use crate::seen::Seen;
 use crate::{ELECTION_TIMEOUT_MAX, HEARTBEAT_INTERVAL, QUORUM_TIMEOUT, WINDOW_ENTRIES};
 
-/// What a leader knows of another member.
+/// Replication progress of another member.
 #[derive(Debug)]
 pub(crate) struct Progress {
+    /// Last index up to which the member's log is known to match.
     pub(crate) matched: u64,
+    /// Index of the next entry to send.
     pub(crate) next: u64,
+    /// Last heartbeat round that the member has answered.
     pub(crate) round: u64,
-    /// When it answered last in this leadership.
-    pub(crate) heard: Option<Instant>,
-    /// Index and offset of the snapshot on its way.
+    /// Time of the member's last answer to this leader.
+    pub(crate) heard_at: Option<Instant>,
+    /// Index of the snapshot that is being sent, and the offset of its next piece in bytes.
     pub(crate) snapshot: Option<(u64, u64)>,
 }
 
+/// State of a leader.
 #[derive(Debug)]
-pub(crate) struct Lead {
-    /// Index of the leader's first entry.
-    pub(crate) start: u64,
+pub(crate) struct Leader {
+    /// Index of the first entry of this leader's term.
+    pub(crate) first_index: u64,
     pub(crate) peers: BTreeMap<u64, Progress>,
     pub(crate) rounds: Rounds,
-    pub(crate) beat_at: Instant,
-    pub(crate) since: Instant,
-    /// Who is to lead next, and until when this is tried.
+    pub(crate) next_heartbeat_at: Instant,
+    /// Time from which the contact timeout of the quorum counts: the start of the
+    /// leadership, or the end of the last stall.
+    pub(crate) contact_since: Instant,
+    /// Target of a leadership transfer, and the time at which the transfer is abandoned.
     pub(crate) transfer: Option<(u64, Instant)>,
-    /// Proposals of each member.
-    pub(crate) seen: BTreeMap<u64, Seen>,
+    /// Recent proposals of each member, to detect duplicates.
+    pub(crate) proposals: BTreeMap<u64, Tokens>,
 }
 
-impl Lead {
-    pub(crate) fn new(now: Instant, start: u64) -> Self {
+impl Leader {
+    pub(crate) fn new(now: Instant, first_index: u64) -> Self {
         Self {
-            start,
+            first_index,
             peers: BTreeMap::new(),
             rounds: Rounds::default(),
-            beat_at: now,
-            since: now,
+            next_heartbeat_at: now,
+            contact_since: now,
             transfer: None,
-            seen: BTreeMap::new(),
+            proposals: BTreeMap::new(),
         }
     }
 }
 
 impl Replica {
-    pub(crate) fn leading(&mut self) -> Option<&mut Lead> {
+    pub(crate) fn leading(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
             Role::Leader(lead) => Some(lead),
             _ => None,
         }
     }
 
-    /// Begins to lead, with an empty entry of the new term.
-    pub(crate) fn take_lead(&mut self, now: Instant) {
+    /// Takes up the leader role and appends an empty entry of the new term.
+    pub(crate) fn become_leader(&mut self, now: Instant) {
         self.set_leader(Some(self.settings.id));
         self.sync_peers();
-        self.write(0, 0, None);
-        self.beat(now);
+        self.append(0, 0, None);
+        self.broadcast_heartbeat(now);
     }
 
-    /// One tick of a leader.
-    pub(crate) fn lead(&mut self, now: Instant, stalled: bool) {
+    /// Handles a tick at the leader.
+    pub(crate) fn tick_leader(&mut self, now: Instant, stalled: bool) {
         if stalled {
-            self.forgive(now);
+            self.restart_quorum_timeout(now);
         }
-        if !self.hears_quorum(now) {
+        if !self.has_active_quorum(now) {
             self.step_down(now, self.hard.term, None);
             return;
         }
@@ -86,53 +92,57 @@
         if lead.transfer.is_some_and(|(_, until)| now >= until) {
             lead.transfer = None;
         }
-        if now >= lead.beat_at {
-            self.beat(now);
-            self.plan_membership(now);
-            // a change of membership may have left a round without answers to come
+        if now >= lead.next_heartbeat_at {
+            self.broadcast_heartbeat(now);
+            self.advance_membership(now);
+            // after a membership change, the remaining voters may all have answered the round
             self.confirm_reads(now);
         }
     }
 
-    /// After a stall of this process, gives the others time to be heard again.
-    fn forgive(&mut self, now: Instant) {
+    /// After a stall of this process, gives the others time to answer again.
+    fn restart_quorum_timeout(&mut self, now: Instant) {
         let Some(lead) = self.leading() else { return };
-        lead.since = now;
+        lead.contact_since = now;
     }
 
-    fn hears_quorum(&self, now: Instant) -> bool {
+    fn has_active_quorum(&self, now: Instant) -> bool {
         let Role::Leader(lead) = &self.role else { return false };
-        if now.since(lead.since) < QUORUM_TIMEOUT {
+        if now.since(lead.contact_since) < QUORUM_TIMEOUT {
             return true;
         }
-        self.is_quorum(|id| self.hears(now, id))
+        self.is_quorum(|id| self.is_active(now, id))
     }
 
-    /// How long each other member has been silent, while this one leads.
+    /// Time since the last answer of each other member; empty unless this member leads.
     pub fn silences(&self, now: Instant) -> Vec<(u64, Duration)> {
         let Role::Leader(lead) = &self.role else { return Vec::new() };
-        let silence = |peer: &Progress| now.since(peer.heard.unwrap_or(lead.since).max(lead.since));
+        let silence = |peer: &Progress| {
+            now.since(peer.heard_at.unwrap_or(lead.contact_since).max(lead.contact_since))
+        };
         lead.peers.iter().map(|(id, peer)| (*id, silence(peer))).collect()
     }
 
-    /// Whether a leader has heard a member lately; itself always.
-    pub(crate) fn hears(&self, now: Instant, id: u64) -> bool {
+    /// Whether this leader had contact from a member within the quorum timeout. The leader
+    /// itself is always active.
+    pub(crate) fn is_active(&self, now: Instant, id: u64) -> bool {
         let Role::Leader(lead) = &self.role else { return false };
-        let heard = lead.peers.get(&id).and_then(|peer| peer.heard);
+        let heard = lead.peers.get(&id).and_then(|peer| peer.heard_at);
         id == self.settings.id || heard.is_some_and(|heard| now.since(heard) < QUORUM_TIMEOUT)
     }
 
-    /// Sends a heartbeat, with what is due, to all.
-    pub(crate) fn beat(&mut self, now: Instant) {
+    /// Sends all other members a heartbeat, with entries or a piece of a snapshot if they
+    /// lack any.
+    pub(crate) fn broadcast_heartbeat(&mut self, now: Instant) {
         let Some(lead) = self.leading() else { return };
-        lead.beat_at = now + HEARTBEAT_INTERVAL;
+        lead.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
         for peer in self.peers() {
-            self.feed(peer, true);
+            self.replicate(peer, true);
         }
-        self.hand_over();
+        self.advance_transfer();
     }
 
-    /// Keeps one progress for each other member.
+    /// Adjusts the tracked progress to the current membership.
     pub(crate) fn sync_peers(&mut self) {
         let peers = self.peers();
         let next = self.log.last_index() + 1;
@@ -143,23 +153,24 @@
                 matched: 0,
                 next,
                 round: 0,
-                heard: None,
+                heard_at: None,
                 snapshot: None,
             });
         }
     }
 
-    /// Writes an entry of the own term and returns its index.
-    pub(crate) fn write(&mut self, origin: u64, token: u64, body: Option<entry::Body>) -> u64 {
+    /// Appends an entry of the current term and returns its index.
+    pub(crate) fn append(&mut self, origin: u64, token: u64, body: Option<entry::Body>) -> u64 {
         let index = self.log.last_index() + 1;
         let entry = Entry { index, term: self.hard.term, origin, token, body };
-        self.hold.entry(entry.clone());
+        self.barrier.push_entry(entry.clone());
         self.log.push(entry);
         index
     }
 
-    /// Sends a member what it lacks; with `beat`, also when it lacks nothing.
-    pub(crate) fn feed(&mut self, to: u64, beat: bool) {
+    /// Sends a member the entries or the snapshot that it lacks. With `heartbeat`, a message is
+    /// also sent if the member lacks nothing.
+    pub(crate) fn replicate(&mut self, to: u64, heartbeat: bool) {
         let last = self.log.last_index();
         let commit = self.commit;
         let base = self.log.base();
@@ -171,20 +182,20 @@
             if peer.snapshot.is_none_or(|(index, _)| index != snapshot) {
                 peer.snapshot = Some((snapshot, 0));
             }
-            if beat {
+            if heartbeat {
                 self.send_piece(to);
             }
             return;
         }
         peer.snapshot = None;
-        let open = peer.next <= last && peer.next - peer.matched <= WINDOW_ENTRIES;
-        if !open && !beat {
+        let due = peer.next <= last && peer.next - peer.matched <= WINDOW_ENTRIES;
+        if !due && !heartbeat {
             return;
         }
         let prev_index = peer.next - 1;
         let from = peer.next;
         let entries =
-            if open { self.log.batch(from, self.settings.batch_entries) } else { Vec::new() };
+            if due { self.log.batch(from, self.settings.batch_entries) } else { Vec::new() };
         let prev_term = self.log.term(prev_index).unwrap_or_default();
         let sent = entries.len() as u64;
         if let Some(peer) = self.leading().and_then(|lead| lead.peers.get_mut(&to)) {
@@ -194,9 +205,9 @@
     }
 
     /// Sends entries to all members that lack some.
-    pub(crate) fn feed_all(&mut self) {
+    pub(crate) fn replicate_all(&mut self) {
         for peer in self.peers() {
-            self.feed(peer, false);
+            self.replicate(peer, false);
         }
     }
 
@@ -227,7 +238,7 @@
         let last = self.log.last_index();
         let Some(lead) = self.leading() else { return };
         let Some(peer) = lead.peers.get_mut(&from) else { return };
-        peer.heard = Some(now);
+        peer.heard_at = Some(now);
         peer.round = peer.round.max(appended.round);
         if appended.matched {
             peer.matched = peer.matched.max(appended.index);
@@ -237,17 +248,17 @@
         }
         let behind = peer.next > base && peer.next <= last;
         if behind || !appended.matched {
-            self.feed(from, !appended.matched);
+            self.replicate(from, !appended.matched);
         }
-        self.advance(now);
+        self.advance_commit(now);
         self.confirm_reads(now);
-        self.hand_over();
+        self.advance_transfer();
     }
 
     pub(crate) fn on_pieced(&mut self, now: Instant, from: u64, pieced: Pieced) {
         let Some(lead) = self.leading() else { return };
         let Some(peer) = lead.peers.get_mut(&from) else { return };
-        peer.heard = Some(now);
+        peer.heard_at = Some(now);
         let Some((index, offset)) = &mut peer.snapshot else { return };
         if *index != pieced.index {
             return;
@@ -256,8 +267,8 @@
             peer.matched = peer.matched.max(pieced.index);
             peer.next = peer.next.max(peer.matched + 1);
             peer.snapshot = None;
-            self.feed(from, true);
-            self.advance(now);
+            self.replicate(from, true);
+            self.advance_commit(now);
             return;
         }
         if *offset != pieced.offset {
@@ -266,44 +277,45 @@
         }
     }
 
-    /// Commits what a quorum holds.
-    pub(crate) fn advance(&mut self, now: Instant) {
+    /// Advances the commit index to the last entry that a quorum holds.
+    pub(crate) fn advance_commit(&mut self, now: Instant) {
         let Role::Leader(lead) = &self.role else { return };
         let own = self.settings.id;
         let durable = match self.settings.flaw {
             Some(Flaw::Unsynced) => self.log.last_index(),
-            _ => self.hold.durable(),
+            _ => self.barrier.durable_index(),
         };
         let matched = |id| match lead.peers.get(&id) {
             _ if id == own => durable,
             Some(peer) => peer.matched,
             None => 0,
         };
-        let mut held: Vec<u64> = self.counted().map(|member| matched(member.id)).collect();
+        let mut held: Vec<u64> = self.counted_members().map(|member| matched(member.id)).collect();
         held.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(index) = held.get(self.quorum() - 1).copied() else { return };
+        let Some(index) = held.get(self.quorum_size() - 1).copied() else { return };
         let own_term = self.log.term(index) == Some(self.hard.term);
         let allowed = own_term || self.settings.flaw == Some(Flaw::OldTerm);
         if index > self.commit && allowed {
             self.commit_to(index);
-            self.committed(now);
+            self.on_commit_advanced(now);
         }
     }
 
-    fn committed(&mut self, now: Instant) {
+    fn on_commit_advanced(&mut self, now: Instant) {
         self.begin_reads(now);
-        self.tell_commit();
-        self.plan_membership(now);
+        self.broadcast_commit();
+        self.advance_membership(now);
     }
 
-    /// Tells the others of the commit at once: entries wait for it.
-    fn tell_commit(&mut self) {
+    /// Sends the new commit index to the others at once, because they apply entries only up to
+    /// it.
+    fn broadcast_commit(&mut self) {
         for peer in self.peers() {
-            self.feed(peer, true);
+            self.replicate(peer, true);
         }
     }
 
-    /// Takes a proposal of this member.
+    /// Handles a proposal of this member: accepts it at the leader, forwards it elsewhere.
     pub(crate) fn propose(&mut self, now: Instant, token: u64, body: propose::Body) {
         let own = self.settings.id;
         match self.leader {
@@ -321,7 +333,7 @@
 
     pub(crate) fn on_propose(&mut self, now: Instant, from: u64, propose: Propose) {
         let Some(lead) = self.leading() else { return };
-        if !lead.seen.entry(from).or_default().insert(propose.token) {
+        if !lead.proposals.entry(from).or_default().insert(propose.token) {
             return;
         }
         if let Some(body) = propose.body {
@@ -331,7 +343,7 @@
 
     fn accept(&mut self, now: Instant, origin: u64, token: u64, body: propose::Body) {
         if self.leading().is_some_and(|lead| lead.transfer.is_some()) {
-            self.drop_own(origin, token);
+            self.drop_proposal(origin, token);
             return;
         }
         let command = match body {
@@ -343,23 +355,24 @@
                 return self.change(now, origin, token, crate::event::Change::Remove(id));
             }
         };
-        self.write_command(origin, token, command);
+        self.append_command(origin, token, command);
     }
 
-    /// Gives up a proposal that comes while the leadership moves.
-    fn drop_own(&mut self, origin: u64, token: u64) {
+    /// Drops a proposal that arrives during a leadership transfer. Only this member's own
+    /// proposals are reported as dropped.
+    fn drop_proposal(&mut self, origin: u64, token: u64) {
         if origin == self.settings.id {
             self.proposals.remove(&token);
             self.out.push(Effect::Dropped { token, not_run: true });
         }
     }
 
-    fn write_command(&mut self, origin: u64, token: u64, command: Bytes) {
-        self.write(origin, token, Some(entry::Body::Command(command)));
-        self.feed_all();
+    fn append_command(&mut self, origin: u64, token: u64, command: Bytes) {
+        self.append(origin, token, Some(entry::Body::Command(command)));
+        self.replicate_all();
     }
 
-    /// Picks who is to lead next.
+    /// Starts a transfer of the leadership to the voter with the longest matching log.
     pub(crate) fn transfer(&mut self, now: Instant) {
         let own = self.settings.id;
         let Role::Leader(lead) = &self.role else { return };
@@ -370,11 +383,11 @@
         if let Some(lead) = self.leading() {
             lead.transfer = best.map(|best| (best, until));
         }
-        self.hand_over();
+        self.advance_transfer();
     }
 
-    /// Tells the next leader to campaign once it has everything.
-    pub(crate) fn hand_over(&mut self) {
+    /// Asks the target of a transfer to campaign once its log is complete.
+    pub(crate) fn advance_transfer(&mut self) {
         let last = self.log.last_index();
         let Role::Leader(lead) = &self.role else { return };
         let Some((next, _)) = lead.transfer else { return };
--- a/components/quorum/src/lib.rs
+++ b/components/quorum/src/lib.rs
@@ -1,78 +1,81 @@
-//! A replicated log among a few members, as a state machine without sockets,
-//! disks or clocks.
+//! Raft consensus among a few members, as a state machine without sockets, disks
+//! or clocks.
 //!
-//! The host feeds [`Replica::on`] with events and carries out the effects. Its
-//! duties:
+//! The program that embeds a replica passes events to [`Replica::on`] and carries
+//! out the resulting effects. It must meet these requirements:
 //!
-//! - [`Effect::Persist`]: writes reach the disk in the order of their tokens;
-//!   once a write and all before it are synced, the host gives
-//!   [`Event::Persisted`] with its token. The replica itself holds back every
-//!   message that rests on a write, so other effects need no order among them.
+//! - [`Effect::Persist`]: writes reach the disk in the order of their tokens. Once
+//!   a write and all earlier ones are synced, the program passes
+//!   [`Event::Persisted`] with the token of the write. The replica itself holds
+//!   back every message that depends on a write, so the other effects need no
+//!   order relative to the writes.
 //! - After a failed write the replica must not be used any more.
-//! - [`Event::Tick`] comes about every [`TICK_INTERVAL`].
-//! - A data folder's id is drawn at random when the folder is made: a member
-//!   that lost its disk comes back as another one, never with a forgotten vote.
-//! - A number of a proposal or read is never used again, also over restarts of
-//!   the same id: the host counts on from a random one.
-
-mod change;
-mod elect;
+//! - [`Event::Tick`] is passed about every [`TICK_INTERVAL`].
+//! - The id of a data folder is drawn at random when the folder is created. A
+//!   member that lost its disk thus returns under a new id, never under the old id
+//!   without the vote that it gave.
+//! - The token of a proposal or read is never reused, not even after a restart
+//!   under the same id: the program starts from a random token and counts up.
+
+mod barrier;
+mod dedup;
+mod election;
 mod event;
-mod follow;
-mod hold;
-mod lead;
+mod follower;
+mod leader;
 mod log;
+mod membership;
 mod read;
 mod replica;
-mod seen;
 
 use base::prelude::*;
 
-pub use change::quorum_size;
+pub use barrier::{Hard, Write};
 pub use event::{Change, Effect, Event, Flaw, Leadership, Settings, Stored};
-pub use hold::{Hard, Write};
 pub use log::Snapshot;
+pub use membership::quorum_size;
 pub use replica::Replica;
 
-/// Pace of [`Event::Tick`].
+/// Interval of [`Event::Tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Pace of heartbeats.
+/// Interval of a leader's heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest silence of a leader before a member campaigns.
+/// Minimum time without contact from a leader after which a member starts an election.
 pub const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(150);
 
-/// Longest silence of a leader before a member campaigns.
+/// Maximum time without contact from a leader after which a member starts an election.
 pub const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(300);
 
-/// Shortest wait of a refused candidate before it stands again.
+/// Minimum time after which a rejected candidate starts another election.
 pub const ELECTION_RETRY_MIN: Duration = Duration::from_millis(20);
 
-/// Longest wait of a refused candidate before it stands again.
+/// Maximum time after which a rejected candidate starts another election.
 pub const ELECTION_RETRY_MAX: Duration = Duration::from_millis(100);
 
-/// Time without word of a quorum after which a leader steps down.
+/// Time without contact from a quorum after which a leader steps down.
 pub const QUORUM_TIMEOUT: Duration = ELECTION_TIMEOUT_MAX;
 
-/// A gap between ticks after which silence proves nothing: this process was
-/// not running itself.
+/// Gap between ticks above which the process counts as stalled. Silence of other
+/// members during a stall is no sign of their failure.
 pub const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// Entries in one message, in bytes.
+/// Maximum length of the entries in one message, in bytes; a longer entry is sent alone.
 pub const BATCH_BYTES: usize = 512 << 10;
 
-/// Entries in one message.
+/// Default maximum number of entries in one message.
 pub const BATCH_ENTRIES: usize = 512;
 
-/// Entries that may be under way to one member.
+/// Number of unacknowledged entries to one member above which a leader sends no more.
 pub const WINDOW_ENTRIES: u64 = 4_096;
 
-/// A piece of a snapshot, in bytes.
+/// Default length of a piece of a snapshot, in bytes.
 pub const PIECE_BYTES: usize = 256 << 10;
 
-/// Proposals of one member that a leader knows again when they come twice.
+/// Number of recent proposals of each member for which a leader detects duplicates.
 pub const SEEN_PROPOSALS: usize = 1_024;
 
-/// Entries kept behind a snapshot for members that are a little behind.
+/// Default number of entries kept before the index of a snapshot, for members that
+/// lag slightly.
 pub const KEPT_ENTRIES: u64 = 1_024;
--- a/components/quorum/src/log.rs
+++ b/components/quorum/src/log.rs
@@ -1,5 +1,5 @@
-//! The log in memory: a snapshot, the entries after it, and the memberships
-//! that both name.
+//! The log in memory: the newest snapshot, the entries after it and some before
+//! it, and the memberships that they contain.
 
 use std::collections::VecDeque;
 
@@ -10,24 +10,26 @@
 
 use crate::BATCH_BYTES;
 
-/// The host's state at an index.
+/// Snapshot of the application state at an index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Index of the last entry in it.
+    /// Index of the last entry that the snapshot includes.
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last entry that the snapshot includes.
     pub term: u64,
-    /// Membership at that entry.
+    /// Membership at the index.
     pub members: Members,
-    /// The encoded state.
+    /// Encoded state.
     pub data: Bytes,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     snapshot: Snapshot,
+    /// Index and term of the entry before the first one in `entries`.
     base: (u64, u64),
     entries: VecDeque<Entry>,
+    /// Memberships and their indexes, oldest first.
     memberships: Vec<(u64, Members)>,
 }
 
@@ -47,7 +49,7 @@
         &self.snapshot
     }
 
-    /// Index before the first entry held.
+    /// Index of the entry before the first one that the log holds.
     pub(crate) fn base(&self) -> u64 {
         self.base.0
     }
@@ -72,14 +74,14 @@
         self.entries.get(offset as usize)
     }
 
-    /// Entries from an index on, as many as one message takes.
-    pub(crate) fn batch(&self, from: u64, most: usize) -> Vec<Entry> {
+    /// Entries from an index on, as many as fit in one message.
+    pub(crate) fn batch(&self, from: u64, max_entries: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut batch = Vec::new();
         let mut index = from;
         while let Some(entry) = self.get(index) {
             bytes += entry.encoded_len();
-            let full = bytes > BATCH_BYTES || batch.len() >= most;
+            let full = bytes > BATCH_BYTES || batch.len() >= max_entries;
             if full && !batch.is_empty() {
                 break;
             }
@@ -104,7 +106,7 @@
         self.memberships.retain(|(index, _)| *index < from);
     }
 
-    /// Takes a snapshot of an applied index, and drops what lies far behind it.
+    /// Stores a snapshot at an applied index, and drops all but `keep` of the entries before it.
     pub(crate) fn compact(&mut self, index: u64, data: Bytes, keep: u64) -> Option<&Snapshot> {
         let term = self.term(index)?;
         if index <= self.snapshot.index {
@@ -121,7 +123,7 @@
         Some(&self.snapshot)
     }
 
-    /// Puts a snapshot in place of everything.
+    /// Replaces the whole log by a snapshot.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         self.base = (snapshot.index, snapshot.term);
         self.entries.clear();
@@ -129,9 +131,9 @@
         self.snapshot = snapshot;
     }
 
-    /// The newest membership, committed or not, and its index.
+    /// The newest membership, committed or not, with its index.
     pub(crate) fn membership(&self) -> (u64, &Members) {
-        let (index, members) = self.memberships.last().expect("a snapshot names a membership");
+        let (index, members) = self.memberships.last().expect("a snapshot contains a membership");
         (*index, members)
     }
 
--- a/components/quorum/src/change.rs
+++ b/components/quorum/src/membership.rs
@@ -1,18 +1,18 @@
-//! Changes of membership: one at a time, each moving at most one voter.
+//! Membership changes: one at a time, each adding or removing at most one voter.
 //!
-//! A new member learns first and votes only once it has caught up. One that
-//! replaces a lost host of the same name waits until that host is removed, so
-//! that the quorum never counts a host that is gone longer than it must.
+//! A new member is a learner and becomes a voter only once it has caught up. If a
+//! new member replaces a lost member of the same name, the lost member is removed
+//! first, so that it counts towards the quorum no longer than necessary.
 
 use base::prelude::*;
 use wire::quorum::message::Body;
 use wire::quorum::{Entry, Member, Members, Refusal, Refused, entry, propose};
 
+use crate::barrier::Hard;
 use crate::event::{Change, Effect};
-use crate::hold::Hard;
 use crate::replica::{Replica, Role};
 
-/// Number of voters that make a quorum.
+/// Number of voters in a quorum.
 pub fn quorum_size(voters: usize) -> usize {
     voters / 2 + 1
 }
@@ -27,25 +27,25 @@
 }
 
 impl Replica {
-    /// Gives an empty log its first membership, which this member must be a
-    /// voter of, and campaigns.
+    /// Appends the first membership to an empty log, and campaigns. This member must be a
+    /// voter of that membership.
     pub(crate) fn bootstrap(&mut self, now: Instant, members: Members) {
         if !self.is_fresh() {
             return;
         }
         self.hard = Hard { term: self.hard.term.max(1), vote: self.hard.vote };
-        self.hold.hard(self.hard);
+        self.barrier.set_hard(self.hard);
         let body = Some(entry::Body::Members(members));
         let entry = Entry { index: 1, term: 1, origin: 0, token: 0, body };
-        self.hold.entry(entry.clone());
+        self.barrier.push_entry(entry.clone());
         self.log.push(entry);
         self.campaign(now, false);
     }
 
-    /// Carries out a change at the leader, or refuses it.
+    /// Carries out a membership change at the leader, or refuses it.
     pub(crate) fn change(&mut self, now: Instant, origin: u64, token: u64, change: Change) {
-        match self.changed(now, change) {
-            Ok(members) => self.write_members(origin, token, members),
+        match self.changed_members(now, change) {
+            Ok(members) => self.append_members(origin, token, members),
             Err(refusal) if origin == self.settings.id => {
                 self.proposals.remove(&token);
                 self.out.push(Effect::Refused { token, refusal });
@@ -64,8 +64,8 @@
         }
     }
 
-    fn changed(&self, now: Instant, change: Change) -> Result<Members, Refusal> {
-        self.may_change()?;
+    fn changed_members(&self, now: Instant, change: Change) -> Result<Members, Refusal> {
+        self.check_change_allowed()?;
         let mut members = self.members().clone();
         let place = |id| self.members().members.iter().position(|member| member.id == id);
         match change {
@@ -80,7 +80,7 @@
                 if !members.members.iter().any(|member| member.voter) {
                     return Err(Refusal::Last);
                 }
-                if !self.would_work(now, &members) {
+                if !self.is_quorum_active(now, &members) {
                     return Err(Refusal::Quorum);
                 }
             }
@@ -88,9 +88,9 @@
         Ok(members)
     }
 
-    fn may_change(&self) -> Result<(), Refusal> {
+    fn check_change_allowed(&self) -> Result<(), Refusal> {
         let Role::Leader(lead) = &self.role else { return Err(Refusal::Early) };
-        if self.commit < lead.start {
+        if self.commit < lead.first_index {
             return Err(Refusal::Early);
         }
         if self.log.membership().0 > self.commit || lead.transfer.is_some() {
@@ -99,21 +99,21 @@
         Ok(())
     }
 
-    fn write_members(&mut self, origin: u64, token: u64, members: Members) {
+    fn append_members(&mut self, origin: u64, token: u64, members: Members) {
         let dropped = self.peers();
-        self.write(origin, token, Some(entry::Body::Members(members)));
-        // those that leave are sent the entry too, so that they know
+        self.append(origin, token, Some(entry::Body::Members(members)));
+        // removed members get the entry too, so that they learn of their removal
         for id in dropped {
-            self.feed(id, false);
+            self.replicate(id, false);
         }
         self.sync_peers();
-        self.feed_all();
+        self.replicate_all();
     }
 
-    /// Takes the next step that the membership itself calls for: a removed
-    /// leader ends, and a learner that has caught up gets its vote.
-    pub(crate) fn plan_membership(&mut self, now: Instant) {
-        if self.may_change().is_err() {
+    /// Takes the next step that the membership itself requires: a removed leader resigns,
+    /// and a learner that has caught up is promoted.
+    pub(crate) fn advance_membership(&mut self, now: Instant) {
+        if self.check_change_allowed().is_err() {
             return;
         }
         let own = self.settings.id;
@@ -122,35 +122,35 @@
             return;
         }
         if let Some(members) = self.next_members(now) {
-            self.write_members(0, 0, members);
+            self.append_members(0, 0, members);
         }
     }
 
-    /// A removed leader: the best of the others campaigns at once.
+    /// Resigns as a removed leader: the voter with the longest matching log campaigns at once.
     fn resign(&mut self, now: Instant) {
         self.transfer(now);
         self.step_down(now, self.hard.term, None);
     }
 
-    /// The next membership towards one in which each learner votes, or as many
-    /// members as may.
+    /// The next membership on the way to one in which all learners, or as many as the maximum
+    /// number of voters allows, are voters.
     fn next_members(&self, now: Instant) -> Option<Members> {
         let members = self.members().members.iter().enumerate();
         let ready = |member: &Member| !member.voter && self.has_caught_up(now, member.id);
         let mut ready = members.filter(|(_, member)| ready(member));
-        ready.find_map(|(place, _)| self.give_vote(now, place))
+        ready.find_map(|(place, _)| self.promote_learner(now, place))
     }
 
-    /// The membership in which a learner takes the place of a member of its name,
-    /// or else votes, if that is due and would work.
-    fn give_vote(&self, now: Instant, place: usize) -> Option<Members> {
+    /// The membership without the member that a learner replaces, or else the one with the
+    /// learner as a voter, if the change is allowed and leaves an active quorum.
+    fn promote_learner(&self, now: Instant, place: usize) -> Option<Members> {
         let members = self.members();
         let name = &members.members[place].name;
         let replaced = members.members[..place].iter().position(|member| member.name == *name);
         if let Some(replaced) = replaced {
             let mut fewer = members.clone();
             fewer.members.remove(replaced);
-            if self.would_work(now, &fewer) {
+            if self.is_quorum_active(now, &fewer) {
                 return Some(fewer);
             }
         }
@@ -160,18 +160,19 @@
         }
         let mut more = members.clone();
         more.members[place].voter = true;
-        self.would_work(now, &more).then_some(more)
+        self.is_quorum_active(now, &more).then_some(more)
     }
 
     fn has_caught_up(&self, now: Instant, id: u64) -> bool {
         let Role::Leader(lead) = &self.role else { return false };
-        lead.peers.get(&id).is_some_and(|peer| peer.matched >= self.commit) && self.hears(now, id)
+        lead.peers.get(&id).is_some_and(|peer| peer.matched >= self.commit)
+            && self.is_active(now, id)
     }
 
-    /// Whether a quorum of a membership is heard at present.
-    fn would_work(&self, now: Instant, members: &Members) -> bool {
+    /// Whether this leader currently has contact from a quorum of a membership.
+    fn is_quorum_active(&self, now: Instant, members: &Members) -> bool {
         let voters = || members.members.iter().filter(|member| member.voter);
-        let heard = voters().filter(|member| self.hears(now, member.id)).count();
+        let heard = voters().filter(|member| self.is_active(now, member.id)).count();
         voters().count() > 0 && heard >= quorum_size(voters().count())
     }
 }
--- a/components/quorum/src/read.rs
+++ b/components/quorum/src/read.rs
@@ -1,8 +1,8 @@
-//! Reads confirmed by a quorum.
+//! Linearizable reads, confirmed by a quorum.
 //!
-//! A read is answered only after a heartbeat round that began after it came;
-//! all reads that wait share one round. A follower asks the leader for all its
-//! reads in one message at a time.
+//! A read is confirmed only after a heartbeat round that began after the read
+//! arrived. All waiting reads share one round. A follower sends its reads to the
+//! leader in batches, one batch at a time.
 
 use base::prelude::*;
 use bytes::Bytes;
@@ -13,20 +13,24 @@
 use crate::event::{Effect, Flaw};
 use crate::replica::{Replica, Role};
 
-/// Who asked for a read.
+/// Query for confirmation of the leader's own read, or of a batch of reads of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ask {
+enum Query {
     Own { token: u64 },
     Peer { id: u64, batch: u64 },
 }
 
-/// A leader's heartbeat rounds.
+/// Heartbeat rounds of a leader.
 #[derive(Debug, Default)]
 pub(crate) struct Rounds {
+    /// Number of the last round.
     round: u64,
+    /// Commit index at the start of the last round.
     index: u64,
-    open: Vec<Ask>,
-    waiting: Vec<Ask>,
+    /// Queries that the last round confirms.
+    open: Vec<Query>,
+    /// Queries for the next round.
+    waiting: Vec<Query>,
 }
 
 impl Rounds {
@@ -34,30 +38,33 @@
         self.round
     }
 
-    /// Reads of the leader itself that are not confirmed.
+    /// Tokens of the leader's own reads that are not confirmed.
     pub(crate) fn own(&self) -> impl Iterator<Item = u64> {
-        self.open.iter().chain(&self.waiting).filter_map(|ask| match ask {
-            Ask::Own { token } => Some(*token),
-            Ask::Peer { .. } => None,
+        self.open.iter().chain(&self.waiting).filter_map(|query| match query {
+            Query::Own { token } => Some(*token),
+            Query::Peer { .. } => None,
         })
     }
 }
 
-/// What a follower has asked its leader.
+/// Reads of a follower that the leader has not confirmed.
 #[derive(Debug)]
-pub(crate) struct Asks {
+pub(crate) struct PendingReads {
+    /// Number of the last batch.
     batch: u64,
+    /// Tokens and notes of the reads in the last batch.
     sent: Vec<(u64, Option<Bytes>)>,
     sent_at: Instant,
+    /// Tokens and notes of the reads for the next batch.
     waiting: Vec<(u64, Option<Bytes>)>,
 }
 
-impl Asks {
+impl PendingReads {
     pub(crate) fn new(first_batch: u64) -> Self {
         Self { batch: first_batch, sent: Vec::new(), sent_at: Instant::ZERO, waiting: Vec::new() }
     }
 
-    /// Gives up all reads and returns their numbers.
+    /// Removes all reads and returns their tokens.
     pub(crate) fn clear(&mut self) -> Vec<u64> {
         let sent = std::mem::take(&mut self.sent);
         let waiting = std::mem::take(&mut self.waiting);
@@ -72,37 +79,39 @@
             None => self.out.push(Effect::Unconfirmed { token }),
             Some(leader) if leader == own => {
                 self.out.extend(note.map(Effect::Noted));
-                self.ask(now, Ask::Own { token });
+                self.enqueue_read(now, Query::Own { token });
             }
             Some(_) => {
-                self.asks.waiting.push((token, note));
-                self.ask_leader(now);
+                self.pending_reads.waiting.push((token, note));
+                self.send_next_batch(now);
             }
         }
     }
 
-    /// Sends the next batch unless one is under way.
-    fn ask_leader(&mut self, now: Instant) {
-        if !self.asks.sent.is_empty() || self.asks.waiting.is_empty() {
+    /// Sends the next batch unless a batch is still unanswered.
+    fn send_next_batch(&mut self, now: Instant) {
+        if !self.pending_reads.sent.is_empty() || self.pending_reads.waiting.is_empty() {
             return;
         }
-        self.asks.sent = std::mem::take(&mut self.asks.waiting);
-        self.asks.batch += 1;
-        self.send_asks(now);
+        self.pending_reads.sent = std::mem::take(&mut self.pending_reads.waiting);
+        self.pending_reads.batch += 1;
+        self.send_batch(now);
     }
 
-    /// Sends a batch again that was not answered.
-    pub(crate) fn ask_again(&mut self, now: Instant) {
-        if !self.asks.sent.is_empty() && now.since(self.asks.sent_at) >= HEARTBEAT_INTERVAL {
-            self.send_asks(now);
+    /// Repeats a batch that was not answered within a heartbeat interval.
+    pub(crate) fn resend_batch(&mut self, now: Instant) {
+        if !self.pending_reads.sent.is_empty()
+            && now.since(self.pending_reads.sent_at) >= HEARTBEAT_INTERVAL
+        {
+            self.send_batch(now);
         }
     }
 
-    fn send_asks(&mut self, now: Instant) {
+    fn send_batch(&mut self, now: Instant) {
         let Some(leader) = self.leader else { return };
-        self.asks.sent_at = now;
-        let notes = self.asks.sent.iter().filter_map(|(_, note)| note.clone()).collect();
-        let batch = self.asks.batch;
+        self.pending_reads.sent_at = now;
+        let notes = self.pending_reads.sent.iter().filter_map(|(_, note)| note.clone()).collect();
+        let batch = self.pending_reads.batch;
         self.send(leader, Body::Read(Read { batch, notes }));
     }
 
@@ -111,38 +120,38 @@
             return;
         }
         self.out.extend(read.notes.into_iter().map(Effect::Noted));
-        self.ask(now, Ask::Peer { id: from, batch: read.batch });
+        self.enqueue_read(now, Query::Peer { id: from, batch: read.batch });
     }
 
     pub(crate) fn on_confirmed(&mut self, now: Instant, confirmed: Confirmed) {
-        if confirmed.batch != self.asks.batch {
+        if confirmed.batch != self.pending_reads.batch {
             return;
         }
         let index = confirmed.index;
-        for (token, _) in std::mem::take(&mut self.asks.sent) {
+        for (token, _) in std::mem::take(&mut self.pending_reads.sent) {
             self.out.push(Effect::Confirmed { token, index });
         }
-        self.ask_leader(now);
+        self.send_next_batch(now);
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask) {
+    fn enqueue_read(&mut self, now: Instant, query: Query) {
         if self.settings.flaw == Some(Flaw::LocalRead) {
-            self.answer(ask, self.commit);
+            self.confirm(query, self.commit);
             return;
         }
         let Some(lead) = self.leading() else { return };
-        if !lead.rounds.waiting.contains(&ask) {
-            lead.rounds.waiting.push(ask);
+        if !lead.rounds.waiting.contains(&query) {
+            lead.rounds.waiting.push(query);
         }
         self.begin_reads(now);
     }
 
-    /// Begins a round for the reads that wait, unless one is open or nothing
-    /// of the own term is committed yet.
+    /// Starts a round for the waiting reads, unless a round is open or no entry of the current
+    /// term is committed yet.
     pub(crate) fn begin_reads(&mut self, now: Instant) {
         let commit = self.commit;
         let Some(lead) = self.leading() else { return };
-        let early = commit < lead.start;
+        let early = commit < lead.first_index;
         let rounds = &mut lead.rounds;
         if early || !rounds.open.is_empty() || rounds.waiting.is_empty() {
             return;
@@ -150,31 +159,31 @@
         rounds.round += 1;
         rounds.index = commit;
         rounds.open = std::mem::take(&mut rounds.waiting);
-        self.beat(now);
+        self.broadcast_heartbeat(now);
         self.confirm_reads(now);
     }
 
-    /// Answers the reads of the open round once a quorum has echoed it.
+    /// Confirms the reads of the open round once a quorum has answered the round.
     pub(crate) fn confirm_reads(&mut self, now: Instant) {
         let own = self.settings.id;
         let Role::Leader(lead) = &self.role else { return };
         let round = lead.rounds.round;
-        let echoed = |id| lead.peers.get(&id).is_some_and(|peer| peer.round >= round);
-        if lead.rounds.open.is_empty() || !self.is_quorum(|id| id == own || echoed(id)) {
+        let answered = |id| lead.peers.get(&id).is_some_and(|peer| peer.round >= round);
+        if lead.rounds.open.is_empty() || !self.is_quorum(|id| id == own || answered(id)) {
             return;
         }
         let Some(lead) = self.leading() else { return };
         let index = lead.rounds.index;
-        for ask in std::mem::take(&mut lead.rounds.open) {
-            self.answer(ask, index);
+        for query in std::mem::take(&mut lead.rounds.open) {
+            self.confirm(query, index);
         }
         self.begin_reads(now);
     }
 
-    fn answer(&mut self, ask: Ask, index: u64) {
-        match ask {
-            Ask::Own { token } => self.out.push(Effect::Confirmed { token, index }),
-            Ask::Peer { id, batch } => self.send(id, Body::Confirmed(Confirmed { batch, index })),
+    fn confirm(&mut self, query: Query, index: u64) {
+        match query {
+            Query::Own { token } => self.out.push(Effect::Confirmed { token, index }),
+            Query::Peer { id, batch } => self.send(id, Body::Confirmed(Confirmed { batch, index })),
         }
     }
 }
--- a/components/quorum/src/replica.rs
+++ b/components/quorum/src/replica.rs
@@ -1,4 +1,4 @@
-//! One member's copy of the log, and how events reach its parts.
+//! Replica: the state of one member, and the dispatch of its events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,48 +9,54 @@
 use wire::quorum::message::Body;
 use wire::quorum::{Entry, Members, Message, propose};
 
+use crate::barrier::{Action, Barrier, Hard};
 use crate::event::{Effect, Event, Flaw, Leadership, Settings, Stored};
-use crate::hold::{Hard, Hold, Item};
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::log::Log;
-use crate::read::Asks;
+use crate::read::PendingReads;
 use crate::{ELECTION_TIMEOUT_MAX, ELECTION_TIMEOUT_MIN, STALL_THRESHOLD};
 
+/// Role of a member, with the votes that it has got as a candidate.
 #[derive(Debug)]
 pub(crate) enum Role {
     Follower,
-    Asking { votes: BTreeSet<u64> },
+    PreCandidate { votes: BTreeSet<u64> },
     Candidate { votes: BTreeSet<u64>, transfer: bool },
-    Leader(Box<Lead>),
+    Leader(Box<Leader>),
 }
 
-/// A member's copy of the log.
+/// Replica of the log at one member.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) settings: Settings,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) hard: Hard,
     pub(crate) log: Log,
-    pub(crate) hold: Hold,
+    pub(crate) barrier: Barrier,
     pub(crate) commit: u64,
     pub(crate) applied: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<u64>,
-    pub(crate) heard: Instant,
+    pub(crate) leader_heard_at: Instant,
+    /// Time at which the member starts an election.
     pub(crate) deadline: Instant,
-    /// When votes were asked for last.
-    pub(crate) asked: Instant,
-    pub(crate) ticked: Instant,
+    /// Time of the last vote or pre-vote requests.
+    pub(crate) votes_requested_at: Instant,
+    pub(crate) ticked_at: Instant,
+    /// Tokens of the member's own open proposals.
     pub(crate) proposals: BTreeSet<u64>,
-    pub(crate) asks: Asks,
-    pub(crate) incoming: Option<crate::follow::Incoming>,
+    pub(crate) pending_reads: PendingReads,
+    pub(crate) incoming: Option<crate::follower::Incoming>,
+    /// Effects of the current event.
     pub(crate) out: Vec<Effect>,
-    told_members: Members,
-    told_leadership: Leadership,
+    /// Membership of the last [`Effect::Members`].
+    reported_members: Members,
+    /// Leadership of the last [`Effect::Leadership`].
+    reported_leadership: Leadership,
 }
 
 impl Replica {
-    /// Starts from what the disk held.
+    /// Creates a follower from the state that the disk held.
     pub fn new(now: Instant, settings: Settings, stored: Stored) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
         let first_batch = rng.random::<u64>() >> 1;
@@ -60,28 +66,28 @@
             settings,
             rng,
             hard: stored.hard,
-            hold: Hold::new(log.last_index()),
+            barrier: Barrier::new(log.last_index()),
             log,
             commit,
             applied: commit,
             role: Role::Follower,
             leader: None,
-            heard: now,
+            leader_heard_at: now,
             deadline: now,
-            asked: now,
-            ticked: now,
+            votes_requested_at: now,
+            ticked_at: now,
             proposals: BTreeSet::new(),
-            asks: Asks::new(first_batch),
+            pending_reads: PendingReads::new(first_batch),
             incoming: None,
             out: Vec::new(),
-            told_members: Members::default(),
-            told_leadership: Leadership::default(),
+            reported_members: Members::default(),
+            reported_leadership: Leadership::default(),
         };
         replica.reset_deadline(now);
         replica
     }
 
-    /// Takes one event and adds what follows to `out`.
+    /// Handles an event and appends the resulting effects to `out`.
     pub fn on(&mut self, now: Instant, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Tick => self.tick(now),
@@ -96,15 +102,15 @@
             Event::Bootstrap(members) => self.bootstrap(now, members),
             Event::Transfer => self.transfer(now),
         }
-        self.seal(out);
+        self.flush(out);
     }
 
-    /// The member's id.
+    /// Id of the member.
     pub fn id(&self) -> u64 {
         self.settings.id
     }
 
-    /// The part it plays.
+    /// Current term and leader, as the member knows them.
     pub fn leadership(&self) -> Leadership {
         let leads = matches!(self.role, Role::Leader(_));
         Leadership { term: self.hard.term, leader: self.leader, leads }
@@ -115,17 +121,17 @@
         self.log.membership().1
     }
 
-    /// Whether it has no log and no membership yet.
+    /// Whether the member has neither log entries nor a snapshot.
     pub fn is_fresh(&self) -> bool {
         self.log.last_index() == 0
     }
 
-    /// Last committed index that it knows.
+    /// Last index that the member knows to be committed.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// Index of the last entry.
+    /// Index of the last entry in the log.
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
@@ -135,8 +141,7 @@
         self.log.snapshot().index
     }
 
-    /// Entries after an index, while the log still has them and as many as
-    /// are committed.
+    /// Committed entries after an index; none if the log has dropped some of them.
     pub fn entries_after(&self, index: u64) -> Option<impl Iterator<Item = &Entry>> {
         if index < self.log.base() {
             return None;
@@ -144,7 +149,7 @@
         Some((index + 1..=self.commit).filter_map(|index| self.log.get(index)))
     }
 
-    /// How far each other member is, at the leader.
+    /// Last index known to match at each other member; empty unless this member leads.
     pub fn progress(&self) -> BTreeMap<u64, u64> {
         match &self.role {
             Role::Leader(lead) => lead.peers.iter().map(|(id, peer)| (*id, peer.matched)).collect(),
@@ -152,59 +157,59 @@
         }
     }
 
-    fn seal(&mut self, out: &mut Vec<Effect>) {
-        let (write, items) = self.hold.seal(self.log.last_index());
+    fn flush(&mut self, out: &mut Vec<Effect>) {
+        let (write, actions) = self.barrier.flush(self.log.last_index());
         if let Some(write) = write {
             out.push(Effect::Persist(write));
         }
-        self.release(items);
+        self.run_actions(actions);
         let members = self.log.membership().1;
-        if *members != self.told_members {
-            self.told_members = members.clone();
+        if *members != self.reported_members {
+            self.reported_members = members.clone();
             out.push(Effect::Members(members.clone()));
         }
         let leadership = self.leadership();
-        if leadership != self.told_leadership {
-            self.told_leadership = leadership;
+        if leadership != self.reported_leadership {
+            self.reported_leadership = leadership;
             out.push(Effect::Leadership(leadership));
         }
         out.append(&mut self.out);
     }
 
     fn persisted(&mut self, now: Instant, token: u64) {
-        let items = self.hold.persisted(token);
-        self.release(items);
+        let actions = self.barrier.persisted(token);
+        self.run_actions(actions);
         if matches!(self.role, Role::Candidate { .. }) {
             self.count_votes(now);
         }
         if matches!(self.role, Role::Leader(_)) {
-            self.advance(now);
+            self.advance_commit(now);
         }
     }
 
-    fn release(&mut self, items: Vec<Item>) {
-        for item in items {
-            match item {
-                Item::Send(message) => self.out.push(Effect::Send(message)),
-                Item::Vote(term) => self.own_vote(term),
+    fn run_actions(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send(message) => self.out.push(Effect::Send(message)),
+                Action::Vote(term) => self.count_own_vote(term),
             }
         }
     }
 
     fn tick(&mut self, now: Instant) {
-        let stalled = now.since(self.ticked) > STALL_THRESHOLD;
-        self.ticked = now;
+        let stalled = now.since(self.ticked_at) > STALL_THRESHOLD;
+        self.ticked_at = now;
         if let Role::Leader(_) = self.role {
-            self.lead(now, stalled);
+            self.tick_leader(now, stalled);
             return;
         }
-        self.ask_again(now);
-        self.ask_votes_again(now);
+        self.resend_batch(now);
+        self.resend_vote_requests(now);
         if stalled {
             self.reset_deadline(now);
         }
         if now >= self.deadline {
-            self.stand(now);
+            self.start_election(now);
         }
     }
 
@@ -217,7 +222,7 @@
         match body {
             Body::PreVote(vote) => return self.on_pre_vote(now, from, term, vote),
             Body::PreVoted(voted) => return self.on_pre_voted(now, from, term, voted),
-            Body::Vote(vote) if !vote.transfer && self.hears_leader(now) => return,
+            Body::Vote(vote) if !vote.transfer && self.has_active_leader(now) => return,
             _ => {}
         }
         let from_leader = matches!(body, Body::Append(_) | Body::Piece(_));
@@ -226,12 +231,12 @@
         }
         if term < self.hard.term {
             if from_leader {
-                self.deny(from);
+                self.reject_stale_leader(from);
             }
             return;
         }
         if from_leader {
-            self.hear(now, from);
+            self.on_leader_contact(now, from);
         }
         match body {
             Body::Vote(vote) => self.on_vote(now, from, vote),
@@ -249,11 +254,11 @@
         }
     }
 
-    /// Becomes a follower, of a leader or of none.
+    /// Becomes a follower, with or without a known leader.
     pub(crate) fn step_down(&mut self, now: Instant, term: u64, leader: Option<u64>) {
         if term > self.hard.term {
             self.hard = Hard { term, vote: 0 };
-            self.hold.hard(self.hard);
+            self.barrier.set_hard(self.hard);
             self.incoming = None;
         }
         let role = std::mem::replace(&mut self.role, Role::Follower);
@@ -265,7 +270,7 @@
         self.reset_deadline(now);
     }
 
-    /// Notes the leader; what was asked of another one is given up.
+    /// Sets the known leader. If the leader changes, open proposals and reads are given up.
     pub(crate) fn set_leader(&mut self, leader: Option<u64>) {
         if self.leader == leader {
             return;
@@ -274,13 +279,13 @@
         for token in std::mem::take(&mut self.proposals) {
             self.out.push(Effect::Dropped { token, not_run: false });
         }
-        for token in self.asks.clear() {
+        for token in self.pending_reads.clear() {
             self.out.push(Effect::Unconfirmed { token });
         }
     }
 
-    fn hear(&mut self, now: Instant, leader: u64) {
-        self.heard = now;
+    fn on_leader_contact(&mut self, now: Instant, leader: u64) {
+        self.leader_heard_at = now;
         if !matches!(self.role, Role::Follower) || self.leader != Some(leader) {
             self.step_down(now, self.hard.term, Some(leader));
         }
@@ -293,7 +298,7 @@
         self.deadline = now + Duration::from_micros(self.rng.random_range(min..=max));
     }
 
-    /// Hands committed entries to the host.
+    /// Raises the commit index and emits the committed entries.
     pub(crate) fn commit_to(&mut self, index: u64) {
         self.commit = self.commit.max(index);
         while self.applied < self.commit {
@@ -311,24 +316,24 @@
             return;
         }
         if let Some(snapshot) = self.log.compact(index, data, self.settings.kept_entries) {
-            self.hold.snapshot(snapshot.clone(), false);
+            self.barrier.set_snapshot(snapshot.clone(), false);
         }
     }
 
-    /// Sends now.
+    /// Sends a message without waiting for writes.
     pub(crate) fn send(&mut self, to: u64, body: Body) {
         let message = self.message(to, self.hard.term, body);
         self.out.push(Effect::Send(message));
     }
 
-    /// Sends once all that was decided so far is durable.
+    /// Sends a message once all writes so far are durable.
     pub(crate) fn send_durable(&mut self, to: u64, body: Body) {
         let message = self.message(to, self.hard.term, body);
         if self.settings.flaw == Some(Flaw::Unsynced) {
             self.out.push(Effect::Send(message));
             return;
         }
-        self.hold.after(Item::Send(message));
+        self.barrier.defer(Action::Send(message));
     }
 
     pub(crate) fn message(&self, to: u64, term: u64, body: Body) -> Message {
