--- a/components/quorum/tests/fuzz/main.rs
+++ b/components/quorum/tests/fuzz/main.rs
@@ -1,9 +1,10 @@
-//! Members under loss, repetition, reordering, crashes with unsynced writes
-//! dropped, splits, clocks of different rates, changes of membership and lost
-//! disks, against a plain list of committed entries.
+//! Fuzz test of replicas under message loss, duplication and reordering, crashes
+//! that drop unsynced writes, network partitions, clocks of different rates,
+//! membership changes and lost disks. An oracle keeps the list of committed
+//! entries, against which all replicas are checked.
 //!
-//! `TREFOIL_FUZZ_SCHEDULES` sets how many schedules run, and `TREFOIL_FUZZ_SEED`
-//! runs the one of a seed that a failure named.
+//! `TREFOIL_FUZZ_SCHEDULES` sets the number of schedules. `TREFOIL_FUZZ_SEED` runs
+//! only the schedule of the seed that a failure reported.
 
 mod oracle;
 mod schedule;
@@ -14,25 +15,25 @@
 
 use quorum::Flaw;
 
-/// Schedules of a run in CI.
+/// Number of schedules in a CI run.
 const SCHEDULES: u64 = 300;
 
-/// Threads that share the schedules.
+/// Number of threads that share the schedules.
 const THREADS: u64 = 4;
 
-/// Schedules within which each flaw must show.
+/// Number of schedules within which each flaw must be detected.
 const FLAW_SCHEDULES: u64 = 3_000;
 
 fn schedules() -> u64 {
-    let set = std::env::var("TREFOIL_FUZZ_SCHEDULES").ok();
-    set.map_or(SCHEDULES, |set| set.parse().expect("TREFOIL_FUZZ_SCHEDULES is a number"))
+    let value = std::env::var("TREFOIL_FUZZ_SCHEDULES").ok();
+    value.map_or(SCHEDULES, |value| value.parse().expect("TREFOIL_FUZZ_SCHEDULES is a number"))
 }
 
 #[test]
-fn holds_whatever_happens() {
+fn log_is_consistent_under_faults() {
     if let Ok(seed) = std::env::var("TREFOIL_FUZZ_SEED") {
         let digits = seed.trim_start_matches("0x");
-        schedule::run_seed(u64::from_str_radix(digits, 16).expect("a seed"), None);
+        schedule::run_seed(u64::from_str_radix(digits, 16).expect("a hexadecimal seed"), None);
         return;
     }
     let (schedules, start) = (schedules(), std::time::Instant::now());
@@ -43,10 +44,10 @@
             let (steps, acknowledged, confirmed) = (&steps, &acknowledged, &confirmed);
             scope.spawn(move || {
                 for seed in (thread..schedules).step_by(THREADS as usize) {
-                    let done = schedule::run(seed, None);
-                    steps.fetch_add(done.steps, Ordering::Relaxed);
-                    acknowledged.fetch_add(done.acknowledged, Ordering::Relaxed);
-                    confirmed.fetch_add(done.confirmed, Ordering::Relaxed);
+                    let summary = schedule::run(seed, None);
+                    steps.fetch_add(summary.steps, Ordering::Relaxed);
+                    acknowledged.fetch_add(summary.acknowledged, Ordering::Relaxed);
+                    confirmed.fetch_add(summary.confirmed, Ordering::Relaxed);
                 }
             });
         }
@@ -58,47 +59,48 @@
         confirmed.load(Ordering::Relaxed),
         start.elapsed().as_secs_f64()
     );
-    assert!(acknowledged.into_inner() > schedules, "too little was acknowledged to mean much");
-    assert!(confirmed.into_inner() > schedules, "too little was confirmed to mean much");
+    assert!(acknowledged.into_inner() > schedules, "too few proposals were acknowledged");
+    assert!(confirmed.into_inner() > schedules, "too few reads were confirmed");
 }
 
-/// Runs schedules of a flawed member until one fails, for the reason that the
-/// flaw must show by.
-fn finds(flaw: Flaw, reasons: &[&str]) {
+/// Runs schedules with a flaw until one fails, and checks that the failure has one
+/// of the reasons expected for the flaw.
+fn assert_detected(flaw: Flaw, reasons: &[&str]) {
     for seed in 0..FLAW_SCHEDULES {
         let run = AssertUnwindSafe(|| schedule::run(seed, Some(flaw)));
         let Err(failure) = catch_unwind(run) else { continue };
         let reason = failure.downcast_ref::<String>().cloned().unwrap_or_default();
-        println!("{flaw} shows at seed {seed}: {reason}");
+        println!("{flaw} is detected at seed {seed}: {reason}");
         assert!(reasons.iter().any(|known| reason.contains(known)), "{reason}");
         return;
     }
-    panic!("{flaw} did not show in {FLAW_SCHEDULES} schedules");
+    panic!("{flaw} was not detected in {FLAW_SCHEDULES} schedules");
 }
 
-const LOST: [&str; 4] = ["changed", "two leaders", "differs", "past a gap"];
+/// Failures that a lost or replaced committed entry can cause.
+const SAFETY_FAILURES: [&str; 4] = ["changed", "two leaders", "differs", "past a gap"];
 
 #[test]
 fn finds_answers_before_the_disk() {
-    finds(Flaw::Unsynced, &LOST);
+    assert_detected(Flaw::Unsynced, &SAFETY_FAILURES);
 }
 
 #[test]
 fn finds_learners_that_count() {
-    finds(Flaw::Learner, &LOST);
+    assert_detected(Flaw::Learner, &SAFETY_FAILURES);
 }
 
 #[test]
 fn finds_a_missing_pre_vote() {
-    finds(Flaw::NoPreVote, &["moved the term"]);
+    assert_detected(Flaw::NoPreVote, &["moved the term"]);
 }
 
 #[test]
 fn finds_reads_without_a_quorum() {
-    finds(Flaw::LocalRead, &["a read saw"]);
+    assert_detected(Flaw::LocalRead, &["a read saw"]);
 }
 
 #[test]
 fn finds_commits_of_older_terms() {
-    finds(Flaw::OldTerm, &LOST);
+    assert_detected(Flaw::OldTerm, &SAFETY_FAILURES);
 }
--- a/components/quorum/tests/fuzz/oracle.rs
+++ b/components/quorum/tests/fuzz/oracle.rs
@@ -1,26 +1,33 @@
-//! What must hold whatever happens, as a plain list of committed entries.
+//! Oracle: the list of committed entries, and the invariants that hold under all faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use wire::quorum::{Entry, Members, entry};
 
+/// Expected state of the cluster.
 #[derive(Debug, Default)]
 pub struct Oracle {
     /// Term and digest of each committed entry; the first has index one.
     committed: Vec<(u64, u64)>,
+    /// Leader of each term.
     leaders: BTreeMap<u64, u64>,
+    /// Committed proposals, by member and token.
     proposals: BTreeSet<(u64, u64)>,
-    refused: BTreeSet<(u64, u64)>,
+    /// Proposals reported as not run, by member and token.
+    not_run: BTreeSet<(u64, u64)>,
+    /// Number of entries committed when a read was requested, by member and token.
     reads: BTreeMap<(u64, u64), u64>,
     /// Newest committed membership.
     pub members: Members,
-    /// Most members that vote.
-    voters: usize,
+    /// Maximum number of voters.
+    max_voters: usize,
+    /// Number of proposals that their member has seen applied.
     pub acknowledged: u64,
+    /// Number of confirmed reads.
     pub confirmed: u64,
 }
 
-/// A digest of a list of entries, grown by one.
+/// Digest (FNV-1a) of a list of entries: extends the digest of the list before by an entry.
 pub fn digest(before: u64, entry: &Entry) -> u64 {
     let body = match &entry.body {
         Some(entry::Body::Command(bytes)) => format!("{bytes:?}"),
@@ -35,9 +42,9 @@
 }
 
 impl Oracle {
-    /// An oracle of members of which at most so many vote.
-    pub fn new(voters: usize) -> Self {
-        Self { voters, ..Self::default() }
+    /// Creates an oracle for a cluster with the given maximum number of voters.
+    pub fn new(max_voters: usize) -> Self {
+        Self { max_voters, ..Self::default() }
     }
 
     pub fn len(&self) -> u64 {
@@ -45,10 +52,10 @@
     }
 
     pub fn digest_at(&self, index: u64) -> u64 {
-        index.checked_sub(1).map_or(0, |place| self.committed[place as usize].1)
+        index.checked_sub(1).map_or(0, |position| self.committed[position as usize].1)
     }
 
-    /// A member applied an entry and holds a list of this digest.
+    /// Checks an entry that a member has applied, and the digest of all entries it has applied.
     pub fn applied(&mut self, member: u64, entry: &Entry, digest: u64) {
         if entry.index <= self.len() {
             assert_eq!(
@@ -63,18 +70,18 @@
         self.committed.push((entry.term, digest));
         if let Some(entry::Body::Members(members)) = &entry.body {
             let voters = members.members.iter().filter(|member| member.voter).count();
-            assert!(voters <= self.voters, "{voters} members vote");
+            assert!(voters <= self.max_voters, "{voters} members are voters");
             self.members = members.clone();
         }
         if entry.origin != 0 && matches!(entry.body, Some(entry::Body::Command(_))) {
             let proposal = (entry.origin, entry.token);
             assert!(self.proposals.insert(proposal), "a proposal is in the log twice");
-            assert!(!self.refused.contains(&proposal), "a proposal that was not run ran");
+            assert!(!self.not_run.contains(&proposal), "a proposal that was not run ran");
         }
     }
 
     pub fn restored(&self, index: u64, digest: u64) {
-        assert!(index <= self.len(), "a snapshot holds what was never committed");
+        assert!(index <= self.len(), "a snapshot includes uncommitted entries");
         assert_eq!(digest, self.digest_at(index), "a snapshot differs from the log");
     }
 
@@ -85,7 +92,7 @@
 
     pub fn not_run(&mut self, member: u64, token: u64) {
         assert!(!self.proposals.contains(&(member, token)), "a proposal that was not run ran");
-        self.refused.insert((member, token));
+        self.not_run.insert((member, token));
     }
 
     pub fn read(&mut self, member: u64, token: u64) {
@@ -94,7 +101,7 @@
 
     pub fn confirmed(&mut self, member: u64, token: u64, index: u64) {
         let Some(needed) = self.reads.remove(&(member, token)) else {
-            panic!("a read was confirmed twice or never asked for");
+            panic!("a read was confirmed twice or never requested");
         };
         assert!(index >= needed, "a read saw {index} of {needed} committed entries");
         self.confirmed += 1;
--- a/components/quorum/tests/fuzz/schedule.rs
+++ b/components/quorum/tests/fuzz/schedule.rs
@@ -1,4 +1,4 @@
-//! One schedule: steps drawn by `arbtest` from a seed.
+//! Schedules: sequences of random steps that `arbtest` draws from a seed.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,34 @@
 
 use crate::world::World;
 
-/// Bytes that a schedule draws from; the lower half of a seed of `arbtest`.
-const SIZE_BYTES: u64 = 16_384;
+/// Number of bytes from which a schedule is drawn. `arbtest` takes this size from the lower
+/// half of its seed.
+const DRAW_BYTES: u64 = 16_384;
 
-const LEAST_STEPS: u64 = 200;
-const MOST_STEPS: u64 = 300;
+const MIN_STEPS: u64 = 200;
+const MAX_STEPS: u64 = 300;
 
-/// Hosts that a schedule starts in all.
-const MOST_NODES: usize = 9;
+/// Maximum number of nodes that a schedule starts, lost ones included.
+const MAX_NODES: usize = 9;
 
-/// Longest wait for an election in [`Step::Flicker`].
-const FLICKER_MILLIS: u64 = 700;
+/// Maximum wait for an election in [`Step::CrashNextLeader`], in milliseconds.
+const ELECTION_WAIT_MILLIS: u64 = 700;
 
-/// Time after the last fault within which everything must work.
+/// Time in microseconds after the last fault within which the cluster must recover.
 const SETTLE_MICROS: u64 = 6_000_000;
 
+/// Counts of one schedule.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Done {
+pub struct Summary {
+    /// Number of steps.
     pub steps: u64,
+    /// Number of acknowledged proposals.
     pub acknowledged: u64,
+    /// Number of confirmed reads.
     pub confirmed: u64,
 }
 
+/// Step of a schedule. The numbers select a node, a duration, or a share of messages.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Run(u8),
@@ -52,131 +58,132 @@
     Remove(u8),
     Lose(u8),
     Replace(u8),
-    Long(u8),
-    /// The next leader to be elected crashes within a moment.
-    Flicker(u8),
+    RunLong(u8),
+    /// Crashes the current leaders, and the next leader shortly after its election.
+    CrashNextLeader(u8),
 }
 
-/// What a schedule is mostly made of.
+/// Mix of steps in a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mood {
-    /// A bit of everything.
+enum Mix {
+    /// All kinds of steps.
     Mixed,
-    /// One election after the other.
+    /// Mainly elections, one after the other.
     Elections,
 }
 
-fn draw(u: &mut Unstructured<'_>, mood: Mood) -> arbitrary::Result<Step> {
-    let pick = u.arbitrary()?;
-    if mood == Mood::Elections {
+fn draw(u: &mut Unstructured<'_>, mix: Mix) -> arbitrary::Result<Step> {
+    let choice = u.arbitrary()?;
+    if mix == Mix::Elections {
         return Ok(match u.int_in_range(0..=9)? {
-            0..=3 => Step::Flicker(pick),
-            4..=6 => Step::ProposeAtLeader(pick),
+            0..=3 => Step::CrashNextLeader(choice),
+            4..=6 => Step::ProposeAtLeader(choice),
             7 => Step::RestartAll,
-            8 => Step::Restart(pick),
-            _ => Step::Run(pick),
+            8 => Step::Restart(choice),
+            _ => Step::Run(choice),
         });
     }
     Ok(match u.int_in_range(0..=47)? {
-        0..=3 => Step::Run(pick),
-        4..=7 => Step::Propose(pick),
-        8..=11 => Step::ProposeAtLeader(pick),
-        12 | 13 => Step::Read(pick),
-        14 | 15 => Step::ReadAtLeader(pick),
-        16 => Step::Crash(pick),
+        0..=3 => Step::Run(choice),
+        4..=7 => Step::Propose(choice),
+        8..=11 => Step::ProposeAtLeader(choice),
+        12 | 13 => Step::Read(choice),
+        14 | 15 => Step::ReadAtLeader(choice),
+        16 => Step::Crash(choice),
         17 | 18 => Step::CrashLeader,
-        19 | 20 => Step::Restart(pick),
+        19 | 20 => Step::Restart(choice),
         21 | 40..=43 => Step::RestartAll,
         22 | 23 => Step::Split(u.arbitrary()?),
-        24 | 25 => Step::Isolate(pick),
-        29 => Step::Loss(pick),
-        30 => Step::Copies(pick),
-        31 | 32 => Step::Compact(pick),
+        24 | 25 => Step::Isolate(choice),
+        29 => Step::Loss(choice),
+        30 => Step::Copies(choice),
+        31 | 32 => Step::Compact(choice),
         33 => Step::Transfer,
-        34 => Step::Add(pick),
-        35 => Step::Remove(pick),
-        36 => Step::Lose(pick),
-        37 | 38 => Step::Replace(pick),
-        39 => Step::Long(pick),
+        34 => Step::Add(choice),
+        35 => Step::Remove(choice),
+        36 => Step::Lose(choice),
+        37 | 38 => Step::Replace(choice),
+        39 => Step::RunLong(choice),
         _ => Step::Heal,
     })
 }
 
-/// Runs the schedule of a number.
-pub fn run(number: u64, flaw: Option<Flaw>) -> Done {
-    run_seed((spread(number) << 32) | SIZE_BYTES, flaw)
+/// Runs the schedule with the given number.
+pub fn run(number: u64, flaw: Option<Flaw>) -> Summary {
+    run_seed((spread(number) << 32) | DRAW_BYTES, flaw)
 }
 
-/// Runs the schedule of a seed; a failure names the seed.
-pub fn run_seed(seed: u64, flaw: Option<Flaw>) -> Done {
-    let mut done = Done::default();
+/// Runs the schedule of a seed. `arbtest` reports the seed of a failure.
+pub fn run_seed(seed: u64, flaw: Option<Flaw>) -> Summary {
+    let mut summary = Summary::default();
     arbtest(|u| {
-        done = schedule(u, flaw)?;
+        summary = schedule(u, flaw)?;
         Ok(())
     })
     .seed(seed)
     .run();
-    done
+    summary
 }
 
-/// Neighbouring seeds draw alike at first, and zero draws nothing but zeros.
+/// Spreads schedule numbers over the seed space, because adjacent seeds begin with similar
+/// draws, and seed zero draws only zeros.
 fn spread(number: u64) -> u64 {
     (number + 1).wrapping_mul(0x9e37_79b9) & u64::from(u32::MAX)
 }
 
-fn schedule(u: &mut Unstructured<'_>, flaw: Option<Flaw>) -> arbitrary::Result<Done> {
+fn schedule(u: &mut Unstructured<'_>, flaw: Option<Flaw>) -> arbitrary::Result<Summary> {
     let voters = if u.ratio(1, 4)? { 5 } else { 3 };
     let mut world = World::new(u.arbitrary()?, voters, flaw);
     world.run(1_000_000);
-    undisturbed(&mut world);
+    check_rejoin(&mut world);
     world.late = 2;
-    let mood = if u.ratio(1, 4)? { Mood::Elections } else { Mood::Mixed };
-    let steps = u.int_in_range(LEAST_STEPS..=MOST_STEPS)?;
+    let mix = if u.ratio(1, 4)? { Mix::Elections } else { Mix::Mixed };
+    let steps = u.int_in_range(MIN_STEPS..=MAX_STEPS)?;
     for _ in 0..steps {
-        let drawn = draw(u, mood)?;
+        let drawn = draw(u, mix)?;
         step(&mut world, drawn);
         world.run(u.int_in_range(0..=20_000)?);
     }
     settle(&mut world);
     let (acknowledged, confirmed) = (world.oracle.acknowledged, world.oracle.confirmed);
-    Ok(Done { steps, acknowledged, confirmed })
+    Ok(Summary { steps, acknowledged, confirmed })
 }
 
 fn step(world: &mut World, step: Step) {
-    let place = |pick: u8| usize::from(pick) % world.nodes.len();
-    let leader = |world: &World, pick: u8| {
+    let index = |choice: u8| usize::from(choice) % world.nodes.len();
+    let leader = |world: &World, choice: u8| {
         let leaders = world.leaders();
-        (!leaders.is_empty()).then(|| leaders[usize::from(pick) % leaders.len()])
+        (!leaders.is_empty()).then(|| leaders[usize::from(choice) % leaders.len()])
     };
     match step {
-        Step::Run(pick) => world.run(u64::from(pick) * 1_000),
-        Step::Propose(pick) => world.propose(place(pick)),
-        Step::ProposeAtLeader(pick) => {
-            if let Some(leader) = leader(world, pick) {
+        Step::Run(choice) => world.run(u64::from(choice) * 1_000),
+        Step::Propose(choice) => world.propose(index(choice)),
+        Step::ProposeAtLeader(choice) => {
+            if let Some(leader) = leader(world, choice) {
                 world.propose(leader);
             }
         }
-        Step::Read(pick) => world.read(place(pick)),
-        Step::ReadAtLeader(pick) => {
-            if let Some(leader) = leader(world, pick) {
+        Step::Read(choice) => world.read(index(choice)),
+        Step::ReadAtLeader(choice) => {
+            if let Some(leader) = leader(world, choice) {
                 world.read(leader);
             }
         }
-        Step::Crash(pick) => world.crash(place(pick)),
+        Step::Crash(choice) => world.crash(index(choice)),
         Step::CrashLeader => {
             if let Some(leader) = leader(world, 0) {
                 world.crash(leader);
             }
         }
-        Step::Restart(pick) => world.restart(place(pick)),
+        Step::Restart(choice) => world.restart(index(choice)),
         Step::RestartAll => restart_all(world),
         Step::Split(bits) => {
-            let side = |place: usize| (place, u8::from(bits >> place & 1 == 1));
+            let side = |index: usize| (index, u8::from(bits >> index & 1 == 1));
             world.split((0..world.nodes.len()).map(side).collect());
         }
-        Step::Isolate(pick) => {
-            let alone = place(pick);
-            let side = |place: usize| (place, u8::from(place == alone));
+        Step::Isolate(choice) => {
+            let isolated = index(choice);
+            let side = |index: usize| (index, u8::from(index == isolated));
             world.split((0..world.nodes.len()).map(side).collect());
         }
         Step::Heal => {
@@ -185,35 +192,36 @@
         }
         Step::Loss(percent) => world.loss = u32::from(percent) % 30,
         Step::Copies(percent) => world.copies = u32::from(percent) % 30,
-        Step::Compact(pick) => world.compact(place(pick)),
+        Step::Compact(choice) => world.compact(index(choice)),
         Step::Transfer => {
             if let Some(leader) = leader(world, 0) {
                 world.transfer(leader);
             }
         }
-        Step::Add(pick) => add(world, pick, None),
-        Step::Remove(pick) => {
-            let id = world.nodes[place(pick)].id;
-            if let Some(leader) = leader(world, pick) {
+        Step::Add(choice) => add(world, choice, None),
+        Step::Remove(choice) => {
+            let id = world.nodes[index(choice)].id;
+            if let Some(leader) = leader(world, choice) {
                 world.change(leader, Change::Remove(id));
             }
         }
-        Step::Lose(pick) => lose(world, place(pick)),
-        Step::Replace(pick) => {
+        Step::Lose(choice) => lose(world, index(choice)),
+        Step::Replace(choice) => {
             let lost = world.nodes.iter().position(|node| node.lost);
-            add(world, pick, lost.map(|lost| world.nodes[lost].name.clone()));
+            add(world, choice, lost.map(|lost| world.nodes[lost].name.clone()));
         }
-        Step::Long(pick) => world.run(u64::from(pick) * 20_000),
-        Step::Flicker(pick) => flicker(world, u64::from(pick) * 100),
+        Step::RunLong(choice) => world.run(u64::from(choice) * 20_000),
+        Step::CrashNextLeader(choice) => crash_next_leader(world, u64::from(choice) * 100),
     }
 }
 
-/// Crashes the leaders there are, and the next one soon after its election.
-fn flicker(world: &mut World, after: u64) {
+/// Crashes the current leaders, and the next leader a given number of microseconds after its
+/// election.
+fn crash_next_leader(world: &mut World, after: u64) {
     for leader in world.leaders() {
         world.crash(leader);
     }
-    for _ in 0..FLICKER_MILLIS {
+    for _ in 0..ELECTION_WAIT_MILLIS {
         world.run(1_000);
         if !world.leaders().is_empty() {
             break;
@@ -226,31 +234,31 @@
     }
 }
 
-fn add(world: &mut World, pick: u8, name: Option<String>) {
-    if world.nodes.len() >= MOST_NODES {
+fn add(world: &mut World, choice: u8, name: Option<String>) {
+    if world.nodes.len() >= MAX_NODES {
         return;
     }
     let leaders = world.leaders();
-    let Some(leader) = leaders.get(usize::from(pick) % leaders.len().max(1)).copied() else {
+    let Some(leader) = leaders.get(usize::from(choice) % leaders.len().max(1)).copied() else {
         return;
     };
     let name = name.unwrap_or_else(|| format!("n{}", world.nodes.len()));
-    let place = world.add_node(&name);
-    let member = world.member(place);
+    let index = world.add_node(&name);
+    let member = world.member(index);
     world.change(leader, Change::Add(member));
 }
 
-/// Loses a disk, unless that would lose a quorum of them.
-fn lose(world: &mut World, place: usize) {
-    let id = world.nodes[place].id;
-    if has_quorum(world, Some(id)) {
-        world.lose(place);
+/// Destroys a node's disk, unless that would leave less than a quorum of the disks.
+fn lose(world: &mut World, index: usize) {
+    let id = world.nodes[index].id;
+    if has_disk_quorum(world, Some(id)) {
+        world.lose(index);
     }
 }
 
-/// Whether the disks that are not lost hold a quorum of each membership that
-/// is committed or on a disk.
-fn has_quorum(world: &World, without: Option<u64>) -> bool {
+/// Whether the nodes with intact disks, except `without`, form a quorum of the committed
+/// membership and of the newest membership of each running node.
+fn has_disk_quorum(world: &World, without: Option<u64>) -> bool {
     let kept =
         |id: u64| without != Some(id) && world.nodes.iter().any(|node| node.id == id && !node.lost);
     let held = world.nodes.iter().filter_map(|node| node.replica.as_ref());
@@ -264,18 +272,18 @@
 }
 
 fn restart_all(world: &mut World) {
-    for place in 0..world.nodes.len() {
-        world.restart(place);
+    for index in 0..world.nodes.len() {
+        world.restart(index);
     }
 }
 
-/// A follower that was cut off for long and returns disturbs nobody.
-fn undisturbed(world: &mut World) {
+/// Checks that a follower that returns after a long partition doesn't disrupt the leader.
+fn check_rejoin(world: &mut World) {
     let Some(leader) = world.leaders().first().copied() else { return };
     let term = |world: &World| world.nodes[leader].replica.as_ref().map(|r| r.leadership().term);
     let before = term(world);
-    let alone = (leader + 1) % world.nodes.len();
-    let side = |place: usize| (place, u8::from(place == alone));
+    let isolated = (leader + 1) % world.nodes.len();
+    let side = |index: usize| (index, u8::from(index == isolated));
     world.split((0..world.nodes.len()).map(side).collect());
     world.run(1_500_000);
     world.split(BTreeMap::new());
@@ -284,13 +292,13 @@
     assert_eq!(world.leaders(), [leader], "a member that returned deposed the leader");
 }
 
-/// Once all faults are over, a proposal and a read succeed at a leader that
-/// holds everything, if a quorum's disks are left.
+/// Ends all faults and checks that a proposal and a read succeed, that every read is
+/// answered, and that every member has all committed entries, if a quorum of disks is left.
 fn settle(world: &mut World) {
     world.split(BTreeMap::new());
     (world.loss, world.copies) = (0, 0);
     restart_all(world);
-    if !has_quorum(world, None) {
+    if !has_disk_quorum(world, None) {
         return;
     }
     world.run(SETTLE_MICROS);
@@ -314,7 +322,7 @@
         world.describe()
     );
     for node in &world.nodes {
-        assert!(node.reads.is_empty(), "a read is never answered\n{}", world.describe());
+        assert!(node.reads.is_empty(), "a read was never answered\n{}", world.describe());
     }
     let len = world.oracle.len();
     for member in world.oracle.members.members.clone() {
--- a/components/quorum/tests/fuzz/world.rs
+++ b/components/quorum/tests/fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Members with fake disks and a fake network, in virtual time.
+//! Simulation of members with disks and a network, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -12,85 +12,105 @@
 
 use crate::oracle::{Oracle, digest};
 
+/// Tick interval of each node, in microseconds of simulation time.
 const TICK_MICROS: u64 = 10_000;
 
+/// Scheduled occurrence in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    Tick { node: usize, life: u64 },
-    Synced { node: usize, life: u64, token: u64 },
+enum Occurrence {
+    Tick { node: usize, incarnation: u64 },
+    Synced { node: usize, incarnation: u64, token: u64 },
     Message { slot: usize },
 }
 
+/// Node of the simulated cluster, running or crashed.
 #[derive(Debug)]
 pub struct Node {
+    /// Member id, drawn at random with the disk.
     pub id: u64,
     pub name: String,
     pub replica: Option<Replica>,
-    /// Its disk is gone for good.
+    /// Whether the node's disk is lost permanently.
     pub lost: bool,
-    life: u64,
+    /// Number of starts of the node.
+    incarnation: u64,
+    /// State on the disk that survives a crash.
     durable: Stored,
+    /// Writes that are not synced yet.
     pending: VecDeque<Write>,
+    /// Time in microseconds at which the disk has synced all writes.
     disk_free: u64,
-    /// Ticks of its clock against the true one, in percent.
+    /// Rate of the node's clock relative to simulation time, in percent.
     rate: u64,
+    /// Offset of the node's clock in microseconds.
     offset: u64,
+    /// Digest of all entries that the node has applied.
     digest: u64,
+    /// Index of the last applied entry.
     pub applied: u64,
+    /// Tokens of the node's open proposals.
     waiting: BTreeSet<u64>,
-    /// Reads that are not answered.
+    /// Tokens of the node's open reads.
     pub reads: BTreeSet<u64>,
 }
 
+/// Simulated cluster.
 #[derive(Debug)]
 pub struct World {
     pub rng: ChaCha8Rng,
     pub nodes: Vec<Node>,
     pub oracle: Oracle,
+    /// Simulation time in microseconds.
     pub now: u64,
+    /// Share of messages that are lost, in percent.
     pub loss: u32,
+    /// Share of messages that are delivered twice, in percent.
     pub copies: u32,
-    /// Messages that come very late, in percent.
+    /// Share of messages with a long delay, in percent.
     pub late: u32,
-    /// Nodes on each side of a split; those on none reach all.
+    /// Side of each node in a network partition. A node without a side reaches all others.
     sides: BTreeMap<usize, u8>,
-    queue: BinaryHeap<Reverse<(u64, u64, What)>>,
-    flights: BTreeMap<usize, (usize, Message)>,
+    /// Scheduled occurrences, by time and sequence number.
+    queue: BinaryHeap<Reverse<(u64, u64, Occurrence)>>,
+    /// Messages in flight and the indexes of their receivers, by slot.
+    in_flight: BTreeMap<usize, (usize, Message)>,
+    /// Sequence number of the last scheduled occurrence.
     count: u64,
+    /// Last token of a proposal or read.
     token: u64,
     flaw: Option<Flaw>,
-    batch: usize,
-    keep: u64,
-    /// Most members that vote.
-    voters: usize,
+    batch_entries: usize,
+    kept_entries: u64,
+    /// Maximum number of voters.
+    max_voters: usize,
 }
 
 impl World {
     pub fn new(seed: u64, voters: usize, flaw: Option<Flaw>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let batch = rng.random_range(1..=4);
-        let keep = rng.random_range(0..=8);
-        let most = if rng.random_bool(0.5) { voters } else { usize::MAX };
+        let batch_entries = rng.random_range(1..=4);
+        let kept_entries = rng.random_range(0..=8);
+        let max_voters = if rng.random_bool(0.5) { voters } else { usize::MAX };
         let mut world = Self {
             rng,
             nodes: Vec::new(),
-            oracle: Oracle::new(most),
+            oracle: Oracle::new(max_voters),
             now: 1,
             loss: 0,
             copies: 0,
             late: 0,
             sides: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             count: 0,
             token: 0,
             flaw,
-            batch,
-            keep,
-            voters: most,
+            batch_entries,
+            kept_entries,
+            max_voters,
         };
-        for place in 0..voters {
-            world.add_node(&format!("n{place}"));
+        for index in 0..voters {
+            world.add_node(&format!("n{index}"));
         }
         let members = world.nodes.iter().map(|node| Member { voter: true, ..member(node) });
         let members = Members { members: members.collect() };
@@ -98,14 +118,14 @@
         world
     }
 
-    /// Starts a host with an empty disk and returns its place.
+    /// Starts a node with an empty disk and returns its index.
     pub fn add_node(&mut self, name: &str) -> usize {
         let node = Node {
             id: self.rng.random_range(1..u64::MAX),
             name: name.to_owned(),
             replica: None,
             lost: false,
-            life: 0,
+            incarnation: 0,
             durable: Stored::default(),
             pending: VecDeque::new(),
             disk_free: 0,
@@ -117,25 +137,26 @@
             reads: BTreeSet::new(),
         };
         self.nodes.push(node);
-        let place = self.nodes.len() - 1;
-        self.restart(place);
-        place
+        let index = self.nodes.len() - 1;
+        self.restart(index);
+        index
     }
 
-    pub fn restart(&mut self, place: usize) {
-        let (seed, flaw, batch, keep) = (self.rng.random(), self.flaw, self.batch, self.keep);
-        let now = self.clock(place);
-        let node = &mut self.nodes[place];
+    pub fn restart(&mut self, index: usize) {
+        let (seed, flaw, batch_entries, kept_entries) =
+            (self.rng.random(), self.flaw, self.batch_entries, self.kept_entries);
+        let now = self.clock(index);
+        let node = &mut self.nodes[index];
         if node.lost || node.replica.is_some() {
             return;
         }
-        node.life += 1;
-        let voters = self.voters;
+        node.incarnation += 1;
+        let max_voters = self.max_voters;
         let settings = Settings {
-            kept_entries: keep,
-            batch_entries: batch,
+            kept_entries,
+            batch_entries,
             piece_bytes: 16,
-            max_voters: voters,
+            max_voters,
             flaw,
             ..Settings::new(node.id, seed)
         };
@@ -143,79 +164,79 @@
         node.applied = stored.snapshot.index;
         node.digest = read_digest(&stored.snapshot.data);
         node.replica = Some(Replica::new(now, settings, stored));
-        let life = node.life;
-        self.at(self.now + TICK_MICROS, What::Tick { node: place, life });
+        let incarnation = node.incarnation;
+        self.schedule(self.now + TICK_MICROS, Occurrence::Tick { node: index, incarnation });
     }
 
-    /// Stops a host; of the writes under way, the first few last.
-    pub fn crash(&mut self, place: usize) {
-        let node = &mut self.nodes[place];
+    /// Crashes a node. A random number of the pending writes, in order, become durable.
+    pub fn crash(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         node.replica = None;
         node.waiting.clear();
         node.reads.clear();
-        let lasting = self.rng.random_range(0..=node.pending.len());
-        for write in std::mem::take(&mut node.pending).into_iter().take(lasting) {
+        let durable_writes = self.rng.random_range(0..=node.pending.len());
+        for write in std::mem::take(&mut node.pending).into_iter().take(durable_writes) {
             persist(&mut node.durable, write);
         }
     }
 
-    pub fn lose(&mut self, place: usize) {
-        self.crash(place);
-        self.nodes[place].lost = true;
+    pub fn lose(&mut self, index: usize) {
+        self.crash(index);
+        self.nodes[index].lost = true;
     }
 
     pub fn split(&mut self, sides: BTreeMap<usize, u8>) {
         self.sides = sides;
     }
 
-    pub fn propose(&mut self, place: usize) {
+    pub fn propose(&mut self, index: usize) {
         self.token += 1;
         let token = self.token;
         let command = Bytes::from(token.to_be_bytes().to_vec());
-        self.nodes[place].waiting.insert(token);
-        self.event(place, Event::Propose { token, command });
+        self.nodes[index].waiting.insert(token);
+        self.event(index, Event::Propose { token, command });
     }
 
-    pub fn change(&mut self, place: usize, change: Change) {
+    pub fn change(&mut self, index: usize, change: Change) {
         self.token += 1;
         let token = self.token;
-        self.event(place, Event::Change { token, change });
+        self.event(index, Event::Change { token, change });
     }
 
-    pub fn read(&mut self, place: usize) {
-        if self.nodes[place].replica.is_none() {
+    pub fn read(&mut self, index: usize) {
+        if self.nodes[index].replica.is_none() {
             return;
         }
         self.token += 1;
         let token = self.token;
-        self.oracle.read(self.nodes[place].id, token);
-        self.nodes[place].reads.insert(token);
-        self.event(place, Event::Read { token, note: None });
+        self.oracle.read(self.nodes[index].id, token);
+        self.nodes[index].reads.insert(token);
+        self.event(index, Event::Read { token, note: None });
     }
 
-    pub fn compact(&mut self, place: usize) {
-        let node = &self.nodes[place];
+    pub fn compact(&mut self, node_index: usize) {
+        let node = &self.nodes[node_index];
         let mut data = node.digest.to_be_bytes().to_vec();
         data.resize(8 + (node.applied as usize % 5) * 12, 0);
         let (index, data) = (node.applied, data.into());
-        self.event(place, Event::Compact { index, data });
+        self.event(node_index, Event::Compact { index, data });
     }
 
-    pub fn transfer(&mut self, place: usize) {
-        self.event(place, Event::Transfer);
+    pub fn transfer(&mut self, index: usize) {
+        self.event(index, Event::Transfer);
     }
 
-    pub fn member(&self, place: usize) -> Member {
-        member(&self.nodes[place])
+    pub fn member(&self, index: usize) -> Member {
+        member(&self.nodes[index])
     }
 
-    /// Places of members that lead, as they believe.
+    /// Indexes of the nodes that consider themselves the leader.
     pub fn leaders(&self) -> Vec<usize> {
         let leads = |node: &Node| node.replica.as_ref().is_some_and(|r| r.leadership().leads);
-        (0..self.nodes.len()).filter(|place| leads(&self.nodes[*place])).collect()
+        (0..self.nodes.len()).filter(|index| leads(&self.nodes[*index])).collect()
     }
 
-    /// The members as they are, for a failure's message.
+    /// Describes the state of all nodes, for failure messages.
     pub fn describe(&self) -> String {
         let mut lines = vec![format!("{} committed", self.oracle.len())];
         lines.extend(self.nodes.iter().map(|node| self.describe_node(node)));
@@ -224,8 +245,8 @@
 
     fn describe_node(&self, node: &Node) -> String {
         let name = |id: u64| {
-            let place = self.nodes.iter().position(|node| node.id == id);
-            place.map_or_else(|| "?".to_owned(), |place| format!("#{place}"))
+            let index = self.nodes.iter().position(|node| node.id == id);
+            index.map_or_else(|| "?".to_owned(), |index| format!("#{index}"))
         };
         let Some(replica) = &node.replica else {
             return format!("{} {} lost: {}", name(node.id), node.name, node.lost);
@@ -234,50 +255,49 @@
         let members = replica.members().members.iter();
         let members: Vec<_> =
             members.map(|m| format!("{}{}", name(m.id), voter(m.voter))).collect();
-        let (leadership, commit, last) =
-            (replica.leadership(), replica.commit(), replica.last_index());
-        format!(
-            "{} {} {leadership:?} commit {commit} last {last} {members:?}",
-            name(node.id),
-            node.name
-        )
+        let (role, commit, last) = (replica.leadership(), replica.commit(), replica.last_index());
+        format!("{} {} {role:?} commit {commit} last {last} {members:?}", name(node.id), node.name)
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by a number of microseconds.
     pub fn run(&mut self, micros: u64) {
         let end = self.now + micros;
         while let Some(Reverse((at, _, _))) = self.queue.peek()
             && *at <= end
         {
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, occurrence))) = self.queue.pop() else { break };
             self.now = at;
-            self.happen(what);
+            self.dispatch(occurrence);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Tick { node, life } if self.nodes[node].life == life => {
+    fn dispatch(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Tick { node, incarnation }
+                if self.nodes[node].incarnation == incarnation =>
+            {
                 if self.nodes[node].replica.is_some() {
-                    self.at(self.now + TICK_MICROS, What::Tick { node, life });
+                    self.schedule(self.now + TICK_MICROS, Occurrence::Tick { node, incarnation });
                 }
                 self.event(node, Event::Tick);
             }
-            What::Synced { node, life, token } if self.nodes[node].life == life => {
+            Occurrence::Synced { node, incarnation, token }
+                if self.nodes[node].incarnation == incarnation =>
+            {
                 self.synced(node, token);
             }
-            What::Message { slot } => {
-                if let Some((to, message)) = self.flights.remove(&slot) {
+            Occurrence::Message { slot } => {
+                if let Some((to, message)) = self.in_flight.remove(&slot) {
                     self.event(to, Event::Message(message));
                 }
             }
-            What::Tick { .. } | What::Synced { .. } => {}
+            Occurrence::Tick { .. } | Occurrence::Synced { .. } => {}
         }
     }
 
-    fn synced(&mut self, place: usize, token: u64) {
-        let node = &mut self.nodes[place];
+    fn synced(&mut self, index: usize, token: u64) {
+        let node = &mut self.nodes[index];
         if node.replica.is_none() {
             return;
         }
@@ -286,58 +306,56 @@
                 persist(&mut node.durable, write);
             }
         }
-        self.event(place, Event::Persisted(token));
+        self.event(index, Event::Persisted(token));
     }
 
-    fn clock(&self, place: usize) -> Instant {
-        let node = &self.nodes[place];
+    fn clock(&self, index: usize) -> Instant {
+        let node = &self.nodes[index];
         Instant::from_micros(node.offset + self.now * node.rate / 100)
     }
 
-    fn at(&mut self, time: u64, what: What) {
+    fn schedule(&mut self, time: u64, occurrence: Occurrence) {
         self.count += 1;
-        self.queue.push(Reverse((time, self.count, what)));
+        self.queue.push(Reverse((time, self.count, occurrence)));
     }
 
-    fn event(&mut self, place: usize, event: Event) {
-        let now = self.clock(place);
+    fn event(&mut self, index: usize, event: Event) {
+        let now = self.clock(index);
         let mut out = Vec::new();
-        if let Some(replica) = &mut self.nodes[place].replica {
+        if let Some(replica) = &mut self.nodes[index].replica {
             replica.on(now, event, &mut out);
         }
         for effect in out {
-            self.effect(place, effect);
+            self.effect(index, effect);
         }
     }
 
-    fn effect(&mut self, place: usize, effect: Effect) {
-        let id = self.nodes[place].id;
+    fn effect(&mut self, node_index: usize, effect: Effect) {
+        let id = self.nodes[node_index].id;
         match effect {
-            Effect::Persist(write) => self.write(place, write),
-            Effect::Send(message) => self.send(place, &message),
-            Effect::Apply(entry) => self.apply(place, &entry),
+            Effect::Persist(write) => self.write(node_index, write),
+            Effect::Send(message) => self.send(node_index, &message),
+            Effect::Apply(entry) => self.apply(node_index, &entry),
             Effect::Restore(snapshot) => {
-                let node = &mut self.nodes[place];
+                let node = &mut self.nodes[node_index];
                 node.applied = snapshot.index;
                 node.digest = read_digest(&snapshot.data);
                 self.oracle.restored(snapshot.index, node.digest);
             }
             Effect::Confirmed { token, index } => {
-                assert!(self.nodes[place].reads.remove(&token), "a read was answered twice");
+                assert!(self.nodes[node_index].reads.remove(&token), "a read was answered twice");
                 self.oracle.confirmed(id, token, index);
             }
             Effect::Unconfirmed { token } => {
-                assert!(self.nodes[place].reads.remove(&token), "a read was answered twice");
+                assert!(self.nodes[node_index].reads.remove(&token), "a read was answered twice");
             }
             Effect::Dropped { token, not_run } => {
-                self.nodes[place].waiting.remove(&token);
+                self.nodes[node_index].waiting.remove(&token);
                 if not_run {
                     self.oracle.not_run(id, token);
                 }
             }
-            Effect::Leadership(leadership) if leadership.leads => {
-                self.oracle.leads(leadership.term, id)
-            }
+            Effect::Leadership(led) if led.leads => self.oracle.leads(led.term, id),
             Effect::Leadership(_)
             | Effect::Members(_)
             | Effect::Noted(_)
@@ -345,8 +363,8 @@
         }
     }
 
-    fn apply(&mut self, place: usize, entry: &Entry) {
-        let node = &mut self.nodes[place];
+    fn apply(&mut self, index: usize, entry: &Entry) {
+        let node = &mut self.nodes[index];
         assert_eq!(entry.index, node.applied + 1, "a member skipped an entry");
         node.applied = entry.index;
         node.digest = digest(node.digest, entry);
@@ -356,33 +374,34 @@
         self.oracle.applied(node.id, entry, node.digest);
     }
 
-    fn write(&mut self, place: usize, write: Write) {
-        let took = self.rng.random_range(100..15_000);
+    fn write(&mut self, index: usize, write: Write) {
+        let delay = self.rng.random_range(100..15_000);
         let now = self.now;
-        let node = &mut self.nodes[place];
-        node.disk_free = node.disk_free.max(now) + took;
-        let what = What::Synced { node: place, life: node.life, token: write.token };
+        let node = &mut self.nodes[index];
+        node.disk_free = node.disk_free.max(now) + delay;
+        let occurrence =
+            Occurrence::Synced { node: index, incarnation: node.incarnation, token: write.token };
         let time = node.disk_free;
         node.pending.push_back(write);
-        self.at(time, what);
+        self.schedule(time, occurrence);
     }
 
     fn send(&mut self, from: usize, message: &Message) {
         let Some(to) = self.nodes.iter().position(|node| node.id == message.to) else { return };
-        let apart = match (self.sides.get(&from), self.sides.get(&to)) {
+        let partitioned = match (self.sides.get(&from), self.sides.get(&to)) {
             (Some(from), Some(to)) => from != to,
             _ => false,
         };
-        if apart || self.rng.random_ratio(self.loss, 100) {
+        if partitioned || self.rng.random_ratio(self.loss, 100) {
             return;
         }
         let copies = if self.rng.random_ratio(self.copies, 100) { 2 } else { 1 };
         for _ in 0..copies {
             let late = self.rng.random_ratio(self.late, 100);
-            let took = self.rng.random_range(200..if late { 400_000 } else { 8_000 });
+            let delay = self.rng.random_range(200..if late { 400_000 } else { 8_000 });
             let slot = self.count as usize;
-            self.flights.insert(slot, (to, message.clone()));
-            self.at(self.now + took, What::Message { slot });
+            self.in_flight.insert(slot, (to, message.clone()));
+            self.schedule(self.now + delay, Occurrence::Message { slot });
         }
     }
 }
