--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -148,7 +148,7 @@
     }
 
     fn announce(&mut self, announce: &log::Announce) -> Result<Outcome, Refusal> {
-        let Some((name, server)) = self.judge(announce)? else {
+        let Some((name, server)) = self.check_announce(announce)? else {
             return Ok(Outcome::Unchanged);
         };
         if self.acknowledges(server.group.as_str()) {
@@ -186,8 +186,11 @@
     ///
     /// # Errors
     /// Why it would be refused.
-    pub fn judge(&self, announce: &log::Announce) -> Result<Option<(Name, Server)>, Refusal> {
-        let (name, mut server) = Server::read(announce).ok_or(Refusal::Malformed)?;
+    pub fn check_announce(
+        &self,
+        announce: &log::Announce,
+    ) -> Result<Option<(Name, Server)>, Refusal> {
+        let (name, mut server) = Server::from_announce(announce).ok_or(Refusal::Malformed)?;
         let acknowledges = self.acknowledges(server.group.as_str());
         if acknowledges && self.is_taken(&name, &server) {
             return Err(Refusal::Address);
@@ -254,7 +257,7 @@
     }
 
     fn join(&mut self, join: &log::Join) -> Result<Outcome, Refusal> {
-        let (name, mut entry) = Entry::read(join).ok_or(Refusal::Malformed)?;
+        let (name, mut entry) = Entry::from_join(join).ok_or(Refusal::Malformed)?;
         entry.draining = self.drained.contains(&name);
         if entry.sole {
             self.departed.retain(|(known, start), _| *known != name || *start >= entry.incarnation);
@@ -292,7 +295,7 @@
                 .retain(|lease| lease.entry != part.entry || lease.incarnation > part.incarnation);
             if group.leases.len() < held {
                 group.generation += 1;
-                group.vanished = index;
+                group.ended_index = index;
                 (found, unaware) = (true, !part.over);
             }
         }
@@ -322,7 +325,7 @@
         self.check_limits(group, assign)?;
         let group = self.groups.get_mut(assign.group.as_str()).ok_or(Refusal::Unknown)?;
         if group.leases.iter().any(|lease| reduces(assign, lease)) {
-            group.reduced = index;
+            group.reduced_index = index;
         }
         let kept = |old: &log::Lease| {
             let same =
@@ -330,7 +333,7 @@
             assign.leases.iter().any(same)
         };
         if !group.leases.iter().all(kept) {
-            group.vanished = index;
+            group.ended_index = index;
         }
         group.leases = assign.leases.iter().cloned().collect();
         group.generation += 1;
--- a/components/control/src/changes.rs
+++ b/components/control/src/changes.rs
@@ -10,7 +10,7 @@
 use config::Fault;
 
 /// Answers that are kept.
-pub const KEPT: usize = 10_000;
+pub const MAX_ANSWERS: usize = 10_000;
 
 /// The answer to a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -59,12 +59,12 @@
         self.answers.get(change)
     }
 
-    /// Keeps the answer of a change and forgets the oldest beyond [`KEPT`].
+    /// Keeps the answer of a change and forgets the oldest beyond [`MAX_ANSWERS`].
     pub fn insert(&mut self, change: String, answer: Answer) {
         if self.answers.insert(change.clone(), answer).is_none() {
             self.order.push_back(change);
         }
-        if self.order.len() > KEPT
+        if self.order.len() > MAX_ANSWERS
             && let Some(oldest) = self.order.pop_front()
         {
             self.answers.remove(&oldest);
--- a/components/control/src/context.rs
+++ b/components/control/src/context.rs
@@ -3,16 +3,16 @@
 use base::prelude::*;
 
 use crate::flaw::Flaw;
-use crate::lives::Lives;
+use crate::liveness::Liveness;
 use crate::state::{Group, State};
 
 /// What a leader must know of the time before it led.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Past {
+pub struct Leadership {
     /// Term of the quorum in which it leads; the token of its designations.
     pub token: u64,
     /// When a server was last seen to be chosen.
-    pub chosen: Option<Instant>,
+    pub last_chosen: Option<Instant>,
 }
 
 /// What a step of a group goes by.
@@ -27,9 +27,9 @@
     /// The group.
     pub group: &'a Group,
     /// Which entries live, and whose leases may still run.
-    pub lives: &'a Lives,
+    pub liveness: &'a Liveness,
     /// What the leader knows of the time before it led.
-    pub past: Past,
+    pub leadership: Leadership,
     /// A rule to break, in tests.
     pub flaw: Flaw,
 }
--- a/components/control/src/succession.rs
+++ b/components/control/src/designation.rs
@@ -21,9 +21,9 @@
 use wire::log::{Choose, Establish, Intend, command};
 
 use crate::context::Context;
-use crate::evidence::{Cause, Sights, Watches};
-use crate::leader::{Ask, Effect, PROPOSAL_TIMEOUT, Unreached};
-use crate::lease::LEASE;
+use crate::detector::{Cause, Symptoms, Watches};
+use crate::leader::{Ask, Effect, PROPOSAL_TIMEOUT, ProbeError};
+use crate::lease::LEASE_DURATION;
 use crate::state::{Group, Phase};
 use crate::trace::Trace;
 
@@ -72,9 +72,9 @@
 
 /// What a leader knows of one group's primary.
 #[derive(Debug, Default)]
-pub struct Succession {
+pub struct Designation {
     watches: Watches,
-    sights: Sights,
+    symptoms: Symptoms,
     seals: BTreeMap<(Name, u64), Seal>,
     /// Questions that are open, and when each was put.
     asked: BTreeMap<Name, Instant>,
@@ -94,14 +94,14 @@
     trace: Option<Trace>,
 }
 
-impl Succession {
+impl Designation {
     /// The newest change.
     pub fn trace(&self) -> Option<&Trace> {
         self.trace.as_ref()
     }
 
     /// Whether a change is under way.
-    pub fn is_open(&self) -> bool {
+    pub fn is_in_progress(&self) -> bool {
         self.trace.as_ref().is_some_and(|trace| trace.established.is_none())
     }
 
@@ -111,17 +111,17 @@
     }
 
     /// Takes a time off all silence in which the leader itself stood still.
-    pub fn forgive(&mut self, gap: Duration) {
-        self.watches.forgive(gap);
+    pub fn exclude_stall(&mut self, gap: Duration) {
+        self.watches.exclude_stall(gap);
     }
 
     /// Takes what a keeper sees.
-    pub fn symptom(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
-        self.sights.take(now, keeper, symptom);
+    pub fn record_symptom(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
+        self.symptoms.record(now, keeper, symptom);
     }
 
     /// Takes a keeper's word that it has ended its work for an earlier primary.
-    pub fn seal(&mut self, entry: Name, incarnation: u64, seal: Seal) {
+    pub fn record_seal(&mut self, entry: Name, incarnation: u64, seal: Seal) {
         let known = self.seals.entry((entry, incarnation)).or_default();
         if known.term <= seal.term {
             *known = seal;
@@ -129,16 +129,16 @@
     }
 
     /// Takes the end of a probe.
-    pub fn probed(
+    pub fn record_result(
         &mut self,
         now: Instant,
         server: &Name,
         ask: Ask,
-        result: Result<&Status, Unreached>,
+        result: Result<&Status, ProbeError>,
     ) {
-        self.watches.of(server).probed(now, ask, result);
+        self.watches.get_or_insert(server).record_result(now, ask, result);
         if ask != Ask::Status {
-            self.refused = if result == Err(Unreached::Rejected) { self.refused + 1 } else { 0 };
+            self.refused = if result == Err(ProbeError::Rejected) { self.refused + 1 } else { 0 };
             return;
         }
         let sent = self.asked.remove(server);
@@ -150,7 +150,7 @@
 
     /// Does what is due.
     pub fn step(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
-        self.watches.keep(&context.group.seats);
+        self.watches.retain(&context.group.seats);
         self.positions.retain(|server, _| context.group.seats.contains(server));
         self.ask(context, out);
         match (&context.group.phase, &context.group.primary) {
@@ -173,10 +173,10 @@
         for seat in &context.group.seats {
             let recent = self.tried.get(seat).is_some_and(|&at| now.since(at) < pace);
             let Some(server) = context.state.servers.get(seat) else { continue };
-            if calm || recent || !self.watches.of(seat).is_due(now, false) {
+            if calm || recent || !self.watches.get_or_insert(seat).is_due(now, false) {
                 continue;
             }
-            self.watches.of(seat).ask(now);
+            self.watches.get_or_insert(seat).record_ask(now);
             self.asked.insert(seat.clone(), now);
             self.tried.insert(seat.clone(), now);
             out.push(probe(context, seat, server.address, Ask::Status));
@@ -189,7 +189,7 @@
         let server = context.state.servers.get(primary);
         group.phase == Phase::Settled
             && server.is_some_and(|server| !server.leaving && !server.expired)
-            && !self.sights.trouble(context.now, primary, group.term)
+            && !self.symptoms.has_unhealthy(context.now, primary, group.term)
     }
 
     fn settled(&mut self, context: &Context<'_>, primary: &Name, out: &mut Vec<Effect>) {
@@ -212,16 +212,16 @@
         let Some(server) = context.state.servers.get(primary) else {
             return Some(Cause::Refused);
         };
-        let trouble = self.sights.trouble(now, primary, group.term);
+        let trouble = self.symptoms.has_unhealthy(now, primary, group.term);
         let missed_by_all = self.misses_all(context, primary);
         let missed = self.is_missed(context, primary, missed_by_all);
-        let watch = self.watches.of(primary);
+        let watch = self.watches.get_or_insert(primary);
         let refusals = watch.refusals();
         if refusals >= REFUSALS || (refusals > 0 && trouble) {
             return Some(Cause::Refused);
         }
         // two vantage points and the leader's own short wait are enough
-        if missed_by_all && watch.unanswered(now) >= UNANSWERED {
+        if missed_by_all && watch.waiting_time(now) >= UNANSWERED {
             return Some(Cause::Silent);
         }
         // while its keepers are well served, only the leader is cut off from it
@@ -243,7 +243,7 @@
     fn is_missed(&mut self, context: &Context<'_>, primary: &Name, by_all: bool) -> bool {
         let (now, group) = (context.now, context.group);
         let calm = self.established.is_some_and(|(_, at)| now.since(at) < CALM);
-        let mut troubled = self.sights.troubled(now, primary, group.term);
+        let mut troubled = self.symptoms.unhealthy(now, primary, group.term);
         let cut = troubled.any(|(_, sight)| sight == Sight::CutOff);
         if calm || !(cut || by_all) || !self.has_heir(context, primary) {
             self.unreached = None;
@@ -257,7 +257,9 @@
     fn misses_all(&self, context: &Context<'_>, primary: &Name) -> bool {
         let (now, group) = (context.now, context.group);
         let misses = |entry: &str| {
-            self.sights.troubled(now, primary, group.term).any(|(name, _)| name.as_str() == entry)
+            self.symptoms
+                .unhealthy(now, primary, group.term)
+                .any(|(name, _)| name.as_str() == entry)
         };
         !group.leases.is_empty() && group.leases.iter().all(|lease| misses(&lease.entry))
     }
@@ -288,7 +290,7 @@
 
     fn intend(&mut self, context: &Context<'_>, cause: Cause, out: &mut Vec<Effect>) {
         let term = Term(context.group.term.0 + 1);
-        if !self.is_open() {
+        if !self.is_in_progress() {
             self.trace = Some(Trace::new(context.now, context.name.clone(), term, cause));
         }
         let intend = Intend { group: context.name.to_string(), term: term.0 };
@@ -304,7 +306,7 @@
     }
 
     /// Notes that the state has moved on: the next proposal need not wait.
-    pub fn moved(&mut self) {
+    pub fn record_applied(&mut self) {
         self.proposed = None;
     }
 
@@ -342,7 +344,7 @@
             })
         };
         group.leases.iter().all(is_sealed)
-            && (group.generation == 0 || context.lives.are_over(context.now))
+            && (group.generation == 0 || context.liveness.removed_leases_expired(context.now))
     }
 
     /// The server that is to lead next, if it is sure to hold all that was
@@ -362,8 +364,8 @@
         }
         let seals = || self.seals.iter().filter(|(holder, _)| holds(group, holder));
         let needed = seals().filter_map(|(_, seal)| seal.mark.map(Mark::from)).max();
-        let current = |seal: &Seal| seal.mark.is_some() && seal.index >= group.vanished;
-        let precise = group.vanished == 0 || seals().any(|(_, seal)| current(seal));
+        let current = |seal: &Seal| seal.mark.is_some() && seal.index >= group.ended_index;
+        let precise = group.ended_index == 0 || seals().any(|(_, seal)| current(seal));
         let stays = |seat: &Name| context.state.servers.get(seat).is_some_and(|s| !s.leaving);
         let able = |seat: &&Name| stays(seat) && position(seat).is_some();
         let best = others().filter(able).max_by_key(|seat| position(seat).map(|p| p.mark));
@@ -410,15 +412,16 @@
             return self.intend(context, Cause::Unfinished, out);
         }
         // calls of an earlier leader must be over before this one's first
-        let early = context.past.chosen.is_some_and(|at| now.since(at) <= LEASE);
+        let early =
+            context.leadership.last_chosen.is_some_and(|at| now.since(at) <= LEASE_DURATION);
         let recent = self.designated.is_some_and(|at| now.since(at) < DESIGNATE_PACE);
-        if early || recent || !self.watches.of(server).is_free(now) {
+        if early || recent || !self.watches.get_or_insert(server).accepts_order(now) {
             return;
         }
         if let Some(known) = context.state.servers.get(server) {
-            let ask = Ask::Designate { token: context.past.token };
+            let ask = Ask::Designate { token: context.leadership.token };
             self.designated = Some(now);
-            self.watches.of(server).order(now, ask);
+            self.watches.get_or_insert(server).record_order(now, ask);
             out.push(probe(context, server, known.address, ask));
         }
     }
--- a/components/control/src/evidence.rs
+++ b/components/control/src/detector.rs
@@ -13,7 +13,7 @@
 use crate::watch::Watch;
 
 /// Time without word of the primary after which a replica has lost it.
-pub const LOST: Duration = Duration::from_millis(400);
+pub const REPLICA_SILENCE_LIMIT: Duration = Duration::from_millis(400);
 
 /// Time for which a keeper's symptom stands.
 const STANDS: Duration = Duration::from_secs(2);
@@ -43,24 +43,24 @@
 
 /// What keepers see of a group's primary.
 #[derive(Clone, Debug, Default)]
-pub struct Sights {
+pub struct Symptoms {
     keepers: BTreeMap<Name, (Symptom, Instant)>,
 }
 
-impl Sights {
+impl Symptoms {
     /// Takes what a keeper sees.
-    pub fn take(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
+    pub fn record(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
         self.keepers.retain(|_, (_, at)| now.since(*at) <= STANDS);
         self.keepers.insert(keeper, (symptom, now));
     }
 
     /// Whether a keeper sees trouble with the primary of a term.
-    pub(crate) fn trouble(&self, now: Instant, primary: &Name, term: Term) -> bool {
-        self.troubled(now, primary, term).next().is_some()
+    pub(crate) fn has_unhealthy(&self, now: Instant, primary: &Name, term: Term) -> bool {
+        self.unhealthy(now, primary, term).next().is_some()
     }
 
     /// The keepers that see trouble with the primary of a term, and what.
-    pub(crate) fn troubled(
+    pub(crate) fn unhealthy(
         &self,
         now: Instant,
         primary: &Name,
@@ -85,19 +85,19 @@
     }
 
     /// What is seen of a server, made known when it was not.
-    pub fn of(&mut self, server: &Name) -> &mut Watch {
+    pub fn get_or_insert(&mut self, server: &Name) -> &mut Watch {
         self.0.entry(server.clone()).or_default()
     }
 
     /// Takes a time off all silence in which the leader itself stood still.
-    pub fn forgive(&mut self, gap: Duration) {
+    pub fn exclude_stall(&mut self, gap: Duration) {
         for watch in self.0.values_mut() {
-            watch.forgive(gap);
+            watch.exclude_stall(gap);
         }
     }
 
     /// Forgets servers without a seat.
-    pub fn keep(&mut self, seats: &[Name]) {
+    pub fn retain(&mut self, seats: &[Name]) {
         self.0.retain(|server, _| seats.contains(server));
     }
 
@@ -107,13 +107,13 @@
     }
 
     /// Highest term that any report names.
-    pub fn highest(&self) -> Term {
+    pub fn highest_term(&self) -> Term {
         let terms = self.0.values().filter_map(|watch| Some(watch.status()?.term));
         terms.max().unwrap_or_default()
     }
 
     /// The primary of the highest term that a majority has joined, if any.
-    pub fn leading(&self, now: Instant, majority: usize) -> Option<(Term, Name)> {
+    pub fn majority_primary(&self, now: Instant, majority: usize) -> Option<(Term, Name)> {
         let primaries = self.fresh(now).filter(|(_, status)| status.role == Role::Primary);
         let (name, primary) = primaries.max_by_key(|(_, status)| status.term)?;
         let term = primary.term;
@@ -124,16 +124,16 @@
 }
 
 /// Why the primary of a settled group must be replaced, if it must.
-pub fn judge(
+pub fn detect(
     now: Instant,
     state: &State,
     group: &Group,
     watches: &Watches,
-    sights: &Sights,
+    symptoms: &Symptoms,
 ) -> Option<Cause> {
     let primary = group.primary.as_ref()?;
     let watch = watches.get(primary)?;
-    let trouble = sights.trouble(now, primary, group.term);
+    let trouble = symptoms.has_unhealthy(now, primary, group.term);
     let refusals = watch.refusals();
     if refusals >= REFUSALS || (refusals > 0 && trouble) {
         return Some(Cause::Refused);
@@ -159,7 +159,7 @@
     let lost = watches
         .fresh(now)
         .filter(|(name, status)| *name != primary && status.term == group.term)
-        .filter(|(_, status)| status.silence > LOST)
+        .filter(|(_, status)| status.silence > REPLICA_SILENCE_LIMIT)
         .count();
     replicas > 0 && lost > replicas / 2
 }
--- a/components/control/src/failover.rs
+++ b/components/control/src/failover.rs
@@ -2,7 +2,7 @@
 //!
 //! Idle: the group is watched by probes. A group without a primary gets one: a
 //! majority that already follows a primary of the highest term is adopted,
-//! else a failover gives it one. A settled group is judged by [`evidence`],
+//! else a failover gives it one. A settled group is judged by [`detector`],
 //! and servers that came back are told to follow.
 //!
 //! A failover goes through the log, one committed step at a time:
@@ -28,8 +28,8 @@
 
 use crate::choice::{Choice, Fenced};
 use crate::context::Context;
-use crate::evidence::{self, Cause, Sights, Watches};
-use crate::leader::{Ask, Effect, PROPOSAL_TIMEOUT, Unreached};
+use crate::detector::{self, Cause, Symptoms, Watches};
+use crate::leader::{Ask, Effect, PROPOSAL_TIMEOUT, ProbeError};
 use crate::state::Phase;
 use crate::trace::Trace;
 
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 pub struct Failover {
     watches: Watches,
-    sights: Sights,
+    symptoms: Symptoms,
     stage: Stage,
     ordered: BTreeMap<Name, Instant>,
     establishing: Option<Instant>,
@@ -116,7 +116,7 @@
     pub fn new(now: Instant) -> Self {
         Self {
             watches: Watches::default(),
-            sights: Sights::default(),
+            symptoms: Symptoms::default(),
             stage: Stage::Idle,
             ordered: BTreeMap::new(),
             establishing: None,
@@ -130,7 +130,7 @@
     }
 
     /// Whether the group was well a moment ago and nothing was applied since.
-    pub fn rests(&self, now: Instant, index: u64) -> bool {
+    pub fn can_skip_step(&self, now: Instant, index: u64) -> bool {
         self.calm_at.is_some_and(|(at, known)| known == index && now.since(at) < REST)
     }
 
@@ -145,24 +145,24 @@
     }
 
     /// Takes a time off all silence in which the leader itself stood still.
-    pub fn forgive(&mut self, gap: Duration) {
-        self.watches.forgive(gap);
+    pub fn exclude_stall(&mut self, gap: Duration) {
+        self.watches.exclude_stall(gap);
     }
 
     /// Takes what a keeper sees.
-    pub fn symptom(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
-        self.sights.take(now, keeper, symptom);
+    pub fn record_symptom(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
+        self.symptoms.record(now, keeper, symptom);
     }
 
     /// Takes the end of a probe.
-    pub fn probed(
+    pub fn record_result(
         &mut self,
         now: Instant,
         server: &Name,
         ask: Ask,
-        result: Result<&Status, Unreached>,
+        result: Result<&Status, ProbeError>,
     ) {
-        self.watches.of(server).probed(now, ask, result);
+        self.watches.get_or_insert(server).record_result(now, ask, result);
         match (&mut self.stage, ask) {
             (Stage::Fencing { term, fenced, failed, .. }, Ask::Fence(asked)) if *term == asked => {
                 match result {
@@ -193,7 +193,7 @@
 
     /// Does what is due: reports to ask for, orders to give, steps to take.
     pub fn step(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
-        self.watches.keep(&context.group.seats);
+        self.watches.retain(&context.group.seats);
         self.watch(context, out);
         match self.stage.clone() {
             Stage::Idle => self.idle(context, out),
@@ -227,8 +227,13 @@
         }
         match (&group.phase, &group.primary) {
             (Phase::Settled, Some(primary)) => {
-                let judged =
-                    evidence::judge(context.now, context.state, group, &self.watches, &self.sights);
+                let judged = detector::detect(
+                    context.now,
+                    context.state,
+                    group,
+                    &self.watches,
+                    &self.symptoms,
+                );
                 if let Some(cause) = judged.filter(|&cause| self.counts(context.now, cause)) {
                     self.begin(context, cause, out);
                 } else {
@@ -244,7 +249,7 @@
     }
 
     /// Whether a failover is under way or was wanted.
-    pub fn is_open(&self) -> bool {
+    pub fn is_in_progress(&self) -> bool {
         self.trace.as_ref().is_some_and(|trace| trace.established.is_none())
     }
 
@@ -269,7 +274,8 @@
     /// not know it yet.
     fn adopt(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) -> bool {
         let group = context.group;
-        let Some((term, server)) = self.watches.leading(context.now, context.majority()) else {
+        let Some((term, server)) = self.watches.majority_primary(context.now, context.majority())
+        else {
             return false;
         };
         let new = match &group.phase {
@@ -312,7 +318,7 @@
             return;
         }
         let since = *self.waiting.get_or_insert(now);
-        let highest = self.watches.highest();
+        let highest = self.watches.highest_term();
         let primary = self
             .watches
             .fresh(now)
@@ -336,8 +342,8 @@
         if reached < context.majority() {
             return;
         }
-        let term = Term(self.watches.highest().max(context.group.term).0 + 1);
-        if self.is_open() {
+        let term = Term(self.watches.highest_term().max(context.group.term).0 + 1);
+        if self.is_in_progress() {
             self.note(|trace| trace.term = term);
         } else {
             self.trace = Some(Trace::new(now, context.name.clone(), term, cause));
--- a/components/control/src/failover/orders.rs
+++ b/components/control/src/failover/orders.rs
@@ -4,7 +4,7 @@
 
 use super::{Failover, LONELY, Stage};
 use crate::context::Context;
-use crate::evidence;
+use crate::detector;
 use crate::leader::{Ask, Effect};
 use crate::state::Phase;
 
@@ -13,11 +13,11 @@
         let calm = self.is_calm(context);
         self.calm_at = calm.then_some((context.now, context.state.index));
         for seat in &context.group.seats {
-            let watch = self.watches.of(seat);
+            let watch = self.watches.get_or_insert(seat);
             if watch.is_due(context.now, calm)
                 && let Some(probe) = probe(context, seat, Ask::Status)
             {
-                watch.ask(context.now);
+                watch.record_ask(context.now);
                 out.push(probe);
             }
         }
@@ -30,12 +30,14 @@
             return false;
         };
         let well = |seat: &Name| {
-            self.watches.get(seat).is_some_and(|watch| watch.is_well(group.term, evidence::LOST))
+            self.watches
+                .get(seat)
+                .is_some_and(|watch| watch.is_healthy(group.term, detector::REPLICA_SILENCE_LIMIT))
         };
         matches!(self.stage, Stage::Idle)
             && group.phase == Phase::Settled
             && !group.leases.is_empty()
-            && !self.sights.trouble(context.now, primary, group.term)
+            && !self.symptoms.has_unhealthy(context.now, primary, group.term)
             && group.seats.iter().all(well)
     }
 
@@ -48,12 +50,12 @@
         out: &mut Vec<Effect>,
     ) {
         let recent = self.ordered.get(server).is_some_and(|&at| context.now.since(at) < pace);
-        let watch = self.watches.of(server);
-        if recent || !watch.is_free(context.now) {
+        let watch = self.watches.get_or_insert(server);
+        if recent || !watch.accepts_order(context.now) {
             return;
         }
         if let Some(probe) = probe(context, server, ask) {
-            watch.order(context.now, ask);
+            watch.record_order(context.now, ask);
             self.ordered.insert(server.clone(), context.now);
             out.push(probe);
         }
--- a/components/control/src/failover/takeover.rs
+++ b/components/control/src/failover/takeover.rs
@@ -8,7 +8,7 @@
 use super::{CALM, FENCE_GRACE, FOLLOW_TIMEOUT, Failover, ORDER_PACE, PROMOTE_TIMEOUT, Stage};
 use crate::choice::{Fenced, choose};
 use crate::context::Context;
-use crate::evidence::Cause;
+use crate::detector::Cause;
 use crate::flaw::Flaw;
 use crate::leader::{Ask, Effect, PROPOSAL_TIMEOUT};
 use crate::state::Phase;
@@ -54,7 +54,7 @@
         if self.is_over(context, term) {
             return;
         }
-        if context.group.phase != Phase::Intended || self.watches.highest() > term {
+        if context.group.phase != Phase::Intended || self.watches.highest_term() > term {
             return self.begin(context, Cause::Unfinished, out);
         }
         for seat in context.group.seats.iter().filter(|seat| !fenced.contains_key(*seat)) {
@@ -146,7 +146,9 @@
             return;
         }
         let overdue = context.now.since(since) >= PROMOTE_TIMEOUT;
-        if overdue || self.watches.highest() > term || self.watches.of(server).is_down(context.now)
+        if overdue
+            || self.watches.highest_term() > term
+            || self.watches.get_or_insert(server).is_down(context.now)
         {
             self.avoided = Some(server.clone());
             return self.begin(context, Cause::Unfinished, out);
@@ -173,7 +175,9 @@
             return;
         }
         let overdue = context.now.since(since) >= FOLLOW_TIMEOUT;
-        if overdue || self.watches.highest() > term || self.watches.of(server).is_down(context.now)
+        if overdue
+            || self.watches.highest_term() > term
+            || self.watches.get_or_insert(server).is_down(context.now)
         {
             self.avoided = Some(server.clone());
             return self.begin(context, Cause::Unfinished, out);
@@ -189,7 +193,7 @@
                 self.order(context, seat, Ask::Follow { term, primary }, ORDER_PACE, out);
             }
         }
-        let leading = self.watches.leading(context.now, context.majority());
+        let leading = self.watches.majority_primary(context.now, context.majority());
         if leading.is_some_and(|(led, primary)| led == term && primary == *server) {
             self.establish(context, term, server, out);
         }
--- a/components/control/src/image.rs
+++ b/components/control/src/image.rs
@@ -84,9 +84,9 @@
     #[prost(uint64, tag = "9")]
     generation: u64,
     #[prost(uint64, tag = "10")]
-    reduced: u64,
+    reduced_index: u64,
     #[prost(uint64, tag = "11")]
-    vanished: u64,
+    ended_index: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -138,7 +138,7 @@
             declarations: pack::pack(self.declarations.canonical().as_bytes()),
             groups: self.groups.iter().map(write_group).collect(),
             servers: self.servers.iter().map(write_server).collect(),
-            entries: self.entries.iter().map(|(name, entry)| entry.join(name)).collect(),
+            entries: self.entries.iter().map(|(name, entry)| entry.to_join(name)).collect(),
             drained: self.drained.iter().map(Name::to_string).collect(),
             changes: self.changes.iter().map(write_change).collect(),
             edition: self.edition,
@@ -159,7 +159,7 @@
         let drained = drained?;
         let mut entries = BTreeMap::new();
         for join in &image.entries {
-            let (name, mut entry) = Entry::read(join).ok_or(Malformed)?;
+            let (name, mut entry) = Entry::from_join(join).ok_or(Malformed)?;
             entry.draining = drained.contains(&name);
             entries.insert(name, entry);
         }
@@ -224,8 +224,8 @@
         history: group.history.starts().iter().map(|&start| start.into()).collect(),
         leases: group.leases.to_vec(),
         generation: group.generation,
-        reduced: group.reduced,
-        vanished: group.vanished,
+        reduced_index: group.reduced_index,
+        ended_index: group.ended_index,
     }
 }
 
@@ -251,19 +251,19 @@
         history,
         leases: image.leases.iter().cloned().collect(),
         generation: image.generation,
-        reduced: image.reduced,
-        vanished: image.vanished,
+        reduced_index: image.reduced_index,
+        ended_index: image.ended_index,
     };
     Ok((name(&image.name)?, group))
 }
 
 fn write_server((name, server): (&Name, &Server)) -> ServerImage {
-    ServerImage { announce: Some(server.announce(name)), expired: server.expired }
+    ServerImage { announce: Some(server.to_announce(name)), expired: server.expired }
 }
 
 fn read_server(image: &ServerImage) -> Result<(Name, Server), Report<Malformed>> {
     let announce = image.announce.as_ref().ok_or(Malformed)?;
-    let (name, server) = Server::read(announce).ok_or(Malformed)?;
+    let (name, server) = Server::from_announce(announce).ok_or(Malformed)?;
     Ok((name, Server { expired: image.expired, ..server }))
 }
 
--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -12,14 +12,14 @@
 use wire::control::{Seal, Symptom};
 use wire::log::{Announce, Command, Join, command};
 
-use crate::context::{Context, Past};
+use crate::context::{Context, Leadership};
+use crate::designation::Designation;
 use crate::failover::Failover;
 use crate::flaw::Flaw;
-use crate::lives::Lives;
+use crate::liveness::Liveness;
 use crate::planner::Planner;
 use crate::renewals::Renewals;
 use crate::state::{Entry, State};
-use crate::succession::Succession;
 use crate::trace::Trace;
 
 /// Time after which a proposal that changed nothing is made again.
@@ -62,7 +62,7 @@
 /// Why a backend server did not answer a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Unreached {
+pub enum ProbeError {
     /// Nothing listens at its address.
     Refused,
     /// No answer in time, or the connection broke.
@@ -71,7 +71,7 @@
     Rejected,
 }
 
-impl std::error::Error for Unreached {}
+impl std::error::Error for ProbeError {}
 
 /// What a leader is told.
 #[derive(Clone, Debug, PartialEq)]
@@ -130,7 +130,7 @@
         /// What was asked.
         ask: Ask,
         /// The server's report after it.
-        result: Result<Status, Unreached>,
+        result: Result<Status, ProbeError>,
     },
 }
 
@@ -172,12 +172,12 @@
     began: Instant,
     ticked: Instant,
     looked: Option<(u64, Instant)>,
-    lives: Lives,
+    liveness: Liveness,
     renewals: Renewals,
     planner: Planner,
     failovers: BTreeMap<Name, Failover>,
-    successions: BTreeMap<Name, Succession>,
-    past: Past,
+    designations: BTreeMap<Name, Designation>,
+    leadership: Leadership,
     traces: VecDeque<Trace>,
     flaw: Flaw,
 }
@@ -185,53 +185,53 @@
 impl Leader {
     /// Makes the leader of a new term of the quorum.
     pub fn new(now: Instant) -> Self {
-        Self::flawed(now, Flaw::None)
+        Self::with_flaw(now, Flaw::None)
     }
 
     /// Makes the leader of a new term that knows of the time before.
-    pub fn heir(now: Instant, past: Past) -> Self {
-        Self { past, ..Self::new(now) }
+    pub fn with_leadership(now: Instant, leadership: Leadership) -> Self {
+        Self { leadership, ..Self::new(now) }
     }
 
     /// Makes a leader that breaks a rule, for a test that must find it.
     #[doc(hidden)]
-    pub fn flawed(now: Instant, flaw: Flaw) -> Self {
+    pub fn with_flaw(now: Instant, flaw: Flaw) -> Self {
         Self {
             began: now,
             ticked: now,
             looked: None,
-            lives: Lives::new(now, flaw),
+            liveness: Liveness::new(now, flaw),
             renewals: Renewals::new(),
             planner: Planner::new(flaw),
             failovers: BTreeMap::new(),
-            successions: BTreeMap::new(),
-            past: Past::default(),
+            designations: BTreeMap::new(),
+            leadership: Leadership::default(),
             traces: VecDeque::new(),
             flaw,
         }
     }
 
     /// When it began to lead.
-    pub fn began(&self) -> Instant {
+    pub fn started(&self) -> Instant {
         self.began
     }
 
     /// Last index that an entry is known to have applied.
     pub fn applied(&self, entry: &Name, incarnation: u64) -> u64 {
-        self.lives.applied(entry, incarnation)
+        self.liveness.applied(entry, incarnation)
     }
 
     /// Newest report of a server, if it came within the pace of a well group.
     pub fn status(&self, now: Instant, group: &str, server: &Name) -> Option<&Status> {
         let failover = self.failovers.get(group).map(Failover::watches);
-        let succession = self.successions.get(group).map(Succession::watches);
-        failover.or(succession)?.get(server)?.lately(now)
+        let designation = self.designations.get(group).map(Designation::watches);
+        failover.or(designation)?.get(server)?.recent(now)
     }
 
     /// Failovers that it led, oldest first, with those that are under way.
     pub fn traces(&self) -> impl Iterator<Item = &Trace> {
         let failovers = self.failovers.values().filter_map(Failover::trace);
-        let open = failovers.chain(self.successions.values().filter_map(Succession::trace));
+        let open = failovers.chain(self.designations.values().filter_map(Designation::trace));
         self.traces.iter().chain(open.filter(|trace| trace.established.is_none()))
     }
 
@@ -240,46 +240,46 @@
         match event {
             Event::Tick => self.tick(now, state, out),
             Event::Applied { .. } => {
-                self.successions.values_mut().for_each(Succession::moved);
+                self.designations.values_mut().for_each(Designation::record_applied);
                 self.tick(now, state, out);
             }
             Event::Sealed { entry, incarnation, seal } => {
                 let Ok(group) = Name::new(&seal.group) else {
                     return;
                 };
-                self.succession(&group).seal(entry, incarnation, seal);
+                self.designation(&group).record_seal(entry, incarnation, seal);
                 self.step(now, state, &group, out);
             }
-            Event::Announced(announce) => self.renewals.announced(now, state, announce, out),
+            Event::Announced(announce) => self.renewals.record_announce(now, state, announce, out),
             Event::Beat { entry, incarnation, applied, returned } => {
-                self.lives.beat(now, entry.clone(), incarnation, applied);
-                self.planner.returned(state, (&entry, incarnation), applied, &returned);
+                self.liveness.beat(now, entry.clone(), incarnation, applied);
+                self.planner.record_returned(state, (&entry, incarnation), applied, &returned);
                 if !returned.is_empty() {
-                    self.planner.tick(now, state, &self.lives, out);
+                    self.planner.tick(now, state, &self.liveness, out);
                 }
             }
             Event::Joined(join) => joined(state, join, out),
             Event::Left { entry, incarnation } => {
-                self.lives.leave(now, entry, incarnation);
-                self.lives.tick(now, state, out);
+                self.liveness.mark_left(now, entry, incarnation);
+                self.liveness.tick(now, state, out);
             }
             Event::Symptom { entry, symptom } => {
                 let Ok(group) = Name::new(&symptom.group) else {
                     return;
                 };
                 if state.acknowledges(group.as_str()) {
-                    self.succession(&group).symptom(now, entry, symptom);
+                    self.designation(&group).record_symptom(now, entry, symptom);
                 } else {
-                    self.failover(now, &group).symptom(now, entry, symptom);
+                    self.failover(now, &group).record_symptom(now, entry, symptom);
                 }
                 self.step(now, state, &group, out);
             }
             Event::Probed { group, server, ask, result } => {
                 let result = result.as_ref().map_err(|&unreached| unreached);
                 if state.acknowledges(group.as_str()) {
-                    self.succession(&group).probed(now, &server, ask, result);
+                    self.designation(&group).record_result(now, &server, ask, result);
                 } else {
-                    self.failover(now, &group).probed(now, &server, ask, result);
+                    self.failover(now, &group).record_result(now, &server, ask, result);
                 }
                 self.step(now, state, &group, out);
             }
@@ -290,22 +290,22 @@
         let gap = now.since(self.ticked);
         self.ticked = now;
         if gap > STALL {
-            self.failovers.values_mut().for_each(|failover| failover.forgive(gap));
-            self.successions.values_mut().for_each(|succession| succession.forgive(gap));
+            self.failovers.values_mut().for_each(|failover| failover.exclude_stall(gap));
+            self.designations.values_mut().for_each(|designation| designation.exclude_stall(gap));
         }
         let looked = |(index, at): (u64, Instant)| index == state.index && now.since(at) < PACE;
         if !self.looked.is_some_and(looked) {
             self.looked = Some((state.index, now));
             self.renewals.tick(now, state, out);
         }
-        self.lives.tick(now, state, out);
-        self.planner.tick(now, state, &self.lives, out);
+        self.liveness.tick(now, state, out);
+        self.planner.tick(now, state, &self.liveness, out);
         let fenced =
             |group: &Name| state.declares(group.as_str()) && !state.acknowledges(group.as_str());
         self.failovers.retain(|group, _| fenced(group));
-        self.successions.retain(|group, _| state.acknowledges(group.as_str()));
+        self.designations.retain(|group, _| state.acknowledges(group.as_str()));
         for group in state.groups.keys() {
-            let rests = |failover: &Failover| failover.rests(now, state.index);
+            let rests = |failover: &Failover| failover.can_skip_step(now, state.index);
             if !self.failovers.get(group).is_some_and(rests) {
                 self.step(now, state, group, out);
             }
@@ -316,25 +316,25 @@
         self.failovers.entry(group.clone()).or_insert_with(|| Failover::new(now))
     }
 
-    fn succession(&mut self, group: &Name) -> &mut Succession {
-        self.successions.entry(group.clone()).or_default()
+    fn designation(&mut self, group: &Name) -> &mut Designation {
+        self.designations.entry(group.clone()).or_default()
     }
 
     fn step(&mut self, now: Instant, state: &State, name: &Name, out: &mut Vec<Effect>) {
         let Some(group) = state.groups.get(name).filter(|_| state.declares(name.as_str())) else {
             return;
         };
-        let (lives, past, flaw) = (&self.lives, self.past, self.flaw);
-        let context = Context { now, state, name, group, lives, past, flaw };
+        let (liveness, leadership, flaw) = (&self.liveness, self.leadership, self.flaw);
+        let context = Context { now, state, name, group, liveness, leadership, flaw };
         let over = if state.acknowledges(name.as_str()) {
-            let succession = self.successions.entry(name.clone()).or_default();
-            let open = succession.is_open();
-            succession.step(&context, out);
-            succession.trace().filter(|_| open)
+            let designation = self.designations.entry(name.clone()).or_default();
+            let open = designation.is_in_progress();
+            designation.step(&context, out);
+            designation.trace().filter(|_| open)
         } else {
             let fresh = || Failover::new(now);
             let failover = self.failovers.entry(name.clone()).or_insert_with(fresh);
-            let open = failover.is_open();
+            let open = failover.is_in_progress();
             failover.step(&context, out);
             failover.trace().filter(|_| open)
         };
@@ -347,7 +347,7 @@
 }
 
 fn joined(state: &State, join: Join, out: &mut Vec<Effect>) {
-    let Some((name, entry)) = Entry::read(&join) else {
+    let Some((name, entry)) = Entry::from_join(&join) else {
         return;
     };
     let known = state.entries.get(&name);
--- a/components/control/src/lives.rs
+++ b/components/control/src/liveness.rs
@@ -1,8 +1,8 @@
 //! Which entries live, by their beats.
 //!
-//! A lease of an entry may be in force until [`LEASE`] after the beat that
-//! renewed it was sent, so an incarnation is given up only once [`LEASE`] and
-//! [`MARGIN`] passed since it was heard of. Of beats that came before it began, a
+//! A lease of an entry may be in force until [`LEASE_DURATION`] after the beat that
+//! renewed it was sent, so an incarnation is given up only once [`LEASE_DURATION`] and
+//! [`LEASE_MARGIN`] passed since it was heard of. Of beats that came before it began, a
 //! leader knows nothing, and counts from its own beginning. Which incarnations
 //! were given up and may not know it yet, the state tells.
 //!
@@ -17,7 +17,7 @@
 
 use crate::flaw::Flaw;
 use crate::leader::{Effect, PROPOSAL_TIMEOUT};
-use crate::lease::{LEASE, MARGIN};
+use crate::lease::{LEASE_DURATION, LEASE_MARGIN};
 use crate::state::{Group, State};
 
 /// One start of an entry.
@@ -37,7 +37,7 @@
 
 /// Entries as the leader hears of them.
 #[derive(Debug)]
-pub struct Lives {
+pub struct Liveness {
     began: Instant,
     starts: BTreeMap<Start, Life>,
     /// The starts that the state knows, and the index that it stood at.
@@ -46,7 +46,7 @@
     flaw: Flaw,
 }
 
-impl Lives {
+impl Liveness {
     /// Knows of no entry yet.
     pub fn new(now: Instant, flaw: Flaw) -> Self {
         let (starts, known) = (BTreeMap::new(), BTreeSet::new());
@@ -70,12 +70,12 @@
     }
 
     /// Notes that an incarnation holds nothing any more.
-    pub fn leave(&mut self, now: Instant, entry: Name, incarnation: u64) {
+    pub fn mark_left(&mut self, now: Instant, entry: Name, incarnation: u64) {
         self.life(now, entry, incarnation).left = true;
     }
 
     /// Whether an incarnation said that it left.
-    pub fn left(&self, entry: &Name, incarnation: u64) -> bool {
+    pub fn has_left(&self, entry: &Name, incarnation: u64) -> bool {
         self.starts.get(&(entry.clone(), incarnation)).is_some_and(|life| life.left)
     }
 
@@ -85,15 +85,15 @@
     }
 
     /// Whether no lease of an entry that was given up, by this leader or an
-    /// earlier one, still runs. Due after [`Lives::tick`] at the state's index.
-    pub fn are_over(&self, now: Instant) -> bool {
+    /// earlier one, still runs. Due after [`Liveness::tick`] at the state's index.
+    pub fn removed_leases_expired(&self, now: Instant) -> bool {
         self.looked.is_some() && !self.lingers(now)
     }
 
     /// Whether no entry can believe that it still holds what is free of a
     /// group: each holder knows what was taken from it, and the leases of
     /// entries that were given up `are_over`.
-    pub fn is_free(&self, group: &Group, are_over: bool) -> bool {
+    pub fn can_grant(&self, group: &Group, are_over: bool) -> bool {
         group.generation == 0 || (are_over && self.know(group))
     }
 
@@ -104,7 +104,7 @@
     fn know(&self, group: &Group) -> bool {
         group.leases.iter().all(|lease| {
             Name::new(&lease.entry)
-                .is_ok_and(|entry| self.applied(&entry, lease.incarnation) >= group.reduced)
+                .is_ok_and(|entry| self.applied(&entry, lease.incarnation) >= group.reduced_index)
         })
     }
 
@@ -118,14 +118,14 @@
         // taken out for the loop, since a life is found by all of the lives
         let known = std::mem::take(&mut self.known);
         for (entry, incarnation) in &known {
-            let ended = state.ended(entry.as_str(), *incarnation);
+            let ended = state.has_ended(entry.as_str(), *incarnation);
             let life = self.life(now, entry.clone(), *incarnation);
             life.left |= ended;
             life.known = true;
             if life.parted.take().is_some() {
                 life.heard = now;
             }
-            let silent = now.since(life.heard) > LEASE + MARGIN;
+            let silent = now.since(life.heard) > LEASE_DURATION + LEASE_MARGIN;
             let waits = life.asked.is_some_and(|asked| now.since(asked) < PROPOSAL_TIMEOUT);
             if (silent || life.left) && !waits {
                 life.asked = Some(now);
@@ -137,7 +137,7 @@
         self.forget(now, state, out);
         let gone = self.starts.iter_mut().filter(|(start, _)| !known.contains(start));
         for ((entry, incarnation), life) in gone.filter(|(_, life)| life.known) {
-            life.left |= state.ended(entry.as_str(), *incarnation);
+            life.left |= state.has_ended(entry.as_str(), *incarnation);
             life.parted.get_or_insert(state.index);
         }
         self.starts.retain(|start, life| {
@@ -186,7 +186,7 @@
 
     /// Whether each lease that it may have had is over.
     fn is_late(&self, now: Instant) -> bool {
-        now.since(self.heard) > LEASE + MARGIN
+        now.since(self.heard) > LEASE_DURATION + LEASE_MARGIN
     }
 }
 
--- a/components/control/src/overview.rs
+++ b/components/control/src/overview.rs
@@ -6,7 +6,7 @@
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::Cause;
+use crate::detector::Cause;
 use crate::leader::Leader;
 use crate::state::{self, Phase, State};
 use crate::trace::Trace;
--- a/components/control/src/planner.rs
+++ b/components/control/src/planner.rs
@@ -21,18 +21,18 @@
 
 use crate::flaw::Flaw;
 use crate::leader::{Effect, PROPOSAL_TIMEOUT};
-use crate::lives::Lives;
-use crate::rendezvous::{KEEPERS, keepers};
-use crate::split::{Holding, split};
+use crate::liveness::Liveness;
+use crate::rendezvous::{KEEPERS_PER_GROUP, keepers};
+use crate::split::{Allocation, split};
 use crate::state::{Entry, Group, Server, State};
 
 /// Time for which a group without leases waits for more entries to join.
-pub const SETTLE: Duration = Duration::from_millis(120);
+pub const JOIN_WAIT: Duration = Duration::from_millis(120);
 
 /// Time between two looks at all groups when nothing was applied.
 const PACE: Duration = Duration::from_millis(100);
 
-type Targets<'a> = SmallVec<[&'a Name; KEEPERS]>;
+type Targets<'a> = SmallVec<[&'a Name; KEEPERS_PER_GROUP]>;
 
 /// Plans the leases of all groups.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     /// Entries that may keep groups, as [`Planner::targets`] goes by them.
     live: Vec<Candidate>,
     /// Keepers of each group among them.
-    targets: BTreeMap<Name, SmallVec<[Name; KEEPERS]>>,
+    targets: BTreeMap<Name, SmallVec<[Name; KEEPERS_PER_GROUP]>>,
     flaw: Flaw,
 }
 
@@ -63,7 +63,7 @@
 fn least_weight(weights: impl Iterator<Item = u32> + Clone) -> u32 {
     let most = weights.clone().max().unwrap_or_default();
     let strong = weights.filter(|&weight| weight >= most / 2).count();
-    if strong >= KEEPERS { most / 2 } else { 0 }
+    if strong >= KEEPERS_PER_GROUP { most / 2 } else { 0 }
 }
 
 impl Planner {
@@ -82,7 +82,7 @@
 
     /// Notes which returning leases an entry has given up. `applied` is the
     /// index that it knew when it said so.
-    pub fn returned(
+    pub fn record_returned(
         &mut self,
         state: &State,
         (entry, incarnation): (&Name, u64),
@@ -94,7 +94,8 @@
                 continue;
             };
             let returning = |lease: &Lease| lease.returning && lease.incarnation == incarnation;
-            if applied >= group.reduced && group.lease(entry.as_str()).is_some_and(returning) {
+            if applied >= group.reduced_index && group.lease(entry.as_str()).is_some_and(returning)
+            {
                 self.returned.insert((name.clone(), entry.clone()), group.generation);
                 self.looked = None;
             }
@@ -102,17 +103,23 @@
     }
 
     /// Proposes the next step of each group's leases.
-    pub fn tick(&mut self, now: Instant, state: &State, lives: &Lives, out: &mut Vec<Effect>) {
+    pub fn tick(
+        &mut self,
+        now: Instant,
+        state: &State,
+        liveness: &Liveness,
+        out: &mut Vec<Effect>,
+    ) {
         let looked = |(index, at): (u64, Instant)| index == state.index && now.since(at) < PACE;
         if self.looked.is_some_and(looked) {
             return;
         }
         self.looked = Some((state.index, now));
-        self.look(state, lives);
+        self.look(state, liveness);
         self.returned.retain(|(group, _), generation| {
             state.groups.get(group).is_some_and(|group| group.generation == *generation)
         });
-        let are_over = lives.are_over(now);
+        let are_over = liveness.removed_leases_expired(now);
         for (name, group) in &state.groups {
             let asked = self.proposed.get(name).is_some_and(|&(generation, at)| {
                 generation == group.generation && now.since(at) < PROPOSAL_TIMEOUT
@@ -120,7 +127,7 @@
             if asked || !self.settled(now, state, name, group) {
                 continue;
             }
-            if let Some(leases) = self.plan(state, (lives, are_over), name, group) {
+            if let Some(leases) = self.plan(state, (liveness, are_over), name, group) {
                 self.proposed.insert(name.clone(), (group.generation, now));
                 let assign = Assign { group: name.to_string(), base: group.generation, leases };
                 out.push(Effect::propose(command::Body::Assign(assign)));
@@ -129,11 +136,11 @@
     }
 
     /// Finds each group's keepers, where groups or the entries that live changed.
-    fn look(&mut self, state: &State, lives: &Lives) {
+    fn look(&mut self, state: &State, liveness: &Liveness) {
         let open = state
             .entries
             .iter()
-            .filter(|(name, entry)| !entry.draining && !lives.left(name, entry.incarnation));
+            .filter(|(name, entry)| !entry.draining && !liveness.has_left(name, entry.incarnation));
         let least = least_weight(open.clone().map(|(_, entry)| entry.weight));
         let live = open.filter(|(_, entry)| entry.weight >= least);
         let candidate = |(name, entry): (&Name, &Entry)| Candidate {
@@ -159,13 +166,13 @@
             return true;
         }
         let since = *self.empty.entry(name.clone()).or_insert(now);
-        now.since(since) >= SETTLE
+        now.since(since) >= JOIN_WAIT
     }
 
     fn plan(
         &self,
         state: &State,
-        (lives, are_over): (&Lives, bool),
+        (liveness, are_over): (&Liveness, bool),
         name: &Name,
         group: &Group,
     ) -> Option<Vec<Lease>> {
@@ -173,7 +180,7 @@
         let targets: Targets<'_> = known.into_iter().flatten().collect();
         let mut leases: Vec<Lease> = group.leases.to_vec();
         leases.retain(|lease| !self.is_returned(name, group, lease));
-        let may_grow = self.flaw == Flaw::GrantEarly || lives.is_free(group, are_over);
+        let may_grow = self.flaw == Flaw::GrantEarly || liveness.can_grant(group, are_over);
         if may_grow {
             mark(state, group, &targets, &mut leases);
         }
@@ -249,7 +256,8 @@
         let entry = state.entries.get(lease.entry.as_str());
         let live = entry.is_some_and(|entry| entry.incarnation == lease.incarnation);
         let target = targets.iter().any(|target| target.as_str() == lease.entry);
-        live && (!target || (lacking && targets.len() == KEEPERS && oversized(state, group, lease)))
+        live && (!target
+            || (lacking && targets.len() == KEEPERS_PER_GROUP && oversized(state, group, lease)))
     };
     if let Some(lease) = leases.iter_mut().find(must) {
         lease.returning = true;
@@ -292,7 +300,7 @@
         connections_taken += share.connections;
         slots_taken += share.slots;
     }
-    let held: SmallVec<[Share; KEEPERS]> = open
+    let held: SmallVec<[Share; KEEPERS_PER_GROUP]> = open
         .iter()
         .map(|target| {
             let lease = leases.iter().find(|lease| lease.entry == target.as_str());
@@ -300,7 +308,8 @@
         })
         .collect();
     let parts = |limit, taken, held| {
-        let holding = Holding { limit, taken, held, parts: targets.len(), may_grow };
+        let holding =
+            Allocation { limit, unavailable: taken, held, keepers: targets.len(), may_grow };
         split(&holding, turn)
     };
     let connections = parts(
--- a/components/control/src/rendezvous.rs
+++ b/components/control/src/rendezvous.rs
@@ -11,13 +11,13 @@
 use crate::state::Entry;
 
 /// Keepers of a group.
-pub const KEEPERS: usize = 2;
+pub const KEEPERS_PER_GROUP: usize = 2;
 
 /// The entries that keep a group, best first.
 pub fn keepers<'a>(
     group: &Name,
     entries: impl Iterator<Item = (&'a Name, &'a Entry)> + Clone,
-) -> SmallVec<[&'a Name; KEEPERS]> {
+) -> SmallVec<[&'a Name; KEEPERS_PER_GROUP]> {
     let group = hash(group);
     let best = |one: &(&'a Name, &Entry)| (score(group, hash(one.0)), one.0);
     let Some(first) = entries.clone().max_by_key(best) else {
--- a/components/control/src/renewals.rs
+++ b/components/control/src/renewals.rs
@@ -11,10 +11,10 @@
 use crate::state::State;
 
 /// Time between two announcements of a server.
-pub const RENEWAL: Duration = Duration::from_millis(500);
+pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time without an announcement after which a server counts as gone.
-pub const EXPIRY: Duration = Duration::from_secs(3);
+pub const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Debug)]
 struct Renewal {
@@ -38,14 +38,14 @@
     }
 
     /// Takes an announcement and proposes what is new in it.
-    pub fn announced(
+    pub fn record_announce(
         &mut self,
         now: Instant,
         state: &State,
         announce: Announce,
         out: &mut Vec<Effect>,
     ) {
-        let judged = state.judge(&announce);
+        let judged = state.check_announce(&announce);
         let Ok(name) = Name::new(&announce.server) else {
             return;
         };
@@ -79,7 +79,7 @@
         for (name, server) in state.servers.iter().filter(|(_, server)| !server.expired) {
             let renewal = self.renewal(now, name.clone());
             let waits = renewal.expired.is_some_and(|asked| now.since(asked) < PROPOSAL_TIMEOUT);
-            if now.since(renewal.heard) > EXPIRY && !waits {
+            if now.since(renewal.heard) > ANNOUNCE_TIMEOUT && !waits {
                 renewal.expired = Some(now);
                 let incarnation = server.incarnation;
                 let expire = Expire { server: name.to_string(), incarnation, left: false };
@@ -87,7 +87,7 @@
             }
         }
         self.servers.retain(|name, renewal| {
-            state.servers.contains_key(name) || now.since(renewal.heard) <= EXPIRY
+            state.servers.contains_key(name) || now.since(renewal.heard) <= ANNOUNCE_TIMEOUT
         });
     }
 }
--- a/components/control/src/split.rs
+++ b/components/control/src/split.rs
@@ -2,37 +2,37 @@
 
 use smallvec::SmallVec;
 
-use crate::rendezvous::KEEPERS;
+use crate::rendezvous::KEEPERS_PER_GROUP;
 
 /// Who holds what of one limit.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct Allocation {
     /// The whole.
     pub limit: u32,
     /// Held by entries that are to have none, or that can't take more now.
-    pub taken: u32,
+    pub unavailable: u32,
     /// Held by each keeper that can take more.
-    pub held: SmallVec<[u32; KEEPERS]>,
+    pub held: SmallVec<[u32; KEEPERS_PER_GROUP]>,
     /// Number of keepers that the whole is split between.
-    pub parts: usize,
+    pub keepers: usize,
     /// Whether a share may grow now.
     pub may_grow: bool,
 }
 
 /// What each keeper of `held` is to have. An odd one goes to the keepers by
 /// turns; a keeper that has its part already keeps it.
-pub fn split(holding: &Holding, turn: usize) -> SmallVec<[u32; KEEPERS]> {
-    let mut shares = holding.held.clone();
+pub fn split(allocation: &Allocation, turn: usize) -> SmallVec<[u32; KEEPERS_PER_GROUP]> {
+    let mut shares = allocation.held.clone();
     let held: u32 = shares.iter().sum();
-    let wanted = wanted(holding, turn);
-    if held + holding.taken > holding.limit {
-        shrink(holding, &wanted, &mut shares);
+    let wanted = wanted(allocation, turn);
+    if held + allocation.unavailable > allocation.limit {
+        shrink(allocation, &wanted, &mut shares);
         return shares;
     }
-    if !holding.may_grow {
+    if !allocation.may_grow {
         return shares;
     }
-    let mut free = holding.limit - holding.taken - held;
+    let mut free = allocation.limit - allocation.unavailable - held;
     for (share, wanted) in shares.iter_mut().zip(wanted) {
         let more = wanted.saturating_sub(*share).min(free);
         *share += more;
@@ -41,17 +41,17 @@
     shares
 }
 
-fn shrink(holding: &Holding, wanted: &[u32], shares: &mut [u32]) {
-    let mut left = holding.limit.saturating_sub(holding.taken);
+fn shrink(allocation: &Allocation, wanted: &[u32], shares: &mut [u32]) {
+    let mut left = allocation.limit.saturating_sub(allocation.unavailable);
     for (share, &wanted) in shares.iter_mut().zip(wanted) {
         *share = (*share).min(wanted).min(left);
         left -= *share;
     }
 }
 
-fn wanted(holding: &Holding, turn: usize) -> SmallVec<[u32; KEEPERS]> {
-    let (limit, held) = (holding.limit, &holding.held);
-    if holding.parts < KEEPERS {
+fn wanted(allocation: &Allocation, turn: usize) -> SmallVec<[u32; KEEPERS_PER_GROUP]> {
+    let (limit, held) = (allocation.limit, &allocation.held);
+    if allocation.keepers < KEEPERS_PER_GROUP {
         return held.iter().map(|_| limit).collect();
     }
     let (less, more) = (limit / 2, limit.div_ceil(2));
--- a/components/control/src/state.rs
+++ b/components/control/src/state.rs
@@ -63,10 +63,10 @@
     /// Raised by each change of the leases.
     pub generation: u64,
     /// Index of the command that last took something from a holder of a lease.
-    pub reduced: u64,
+    pub reduced_index: u64,
     /// Index of the command that last ended a lease: what its holder had
     /// acknowledged is not known from it any more.
-    pub vanished: u64,
+    pub ended_index: u64,
 }
 
 /// How far a failover is.
@@ -141,12 +141,12 @@
 
 impl State {
     /// Moves over an index that holds no command.
-    pub fn skip(&mut self, index: u64) {
+    pub fn skip_to(&mut self, index: u64) {
         self.index = self.index.max(index);
     }
 
     /// Whether an incarnation of an entry is known to be gone.
-    pub fn ended(&self, entry: &str, incarnation: u64) -> bool {
+    pub fn has_ended(&self, entry: &str, incarnation: u64) -> bool {
         self.entries.get(entry).is_some_and(|known| known.sole && known.incarnation > incarnation)
     }
 
@@ -175,7 +175,7 @@
 
 impl Server {
     /// A server as its announcement gives it; `None` when a part can't be read.
-    pub fn read(announce: &log::Announce) -> Option<(Name, Self)> {
+    pub fn from_announce(announce: &log::Announce) -> Option<(Name, Self)> {
         let mut labels = Labels::new();
         for label in &announce.labels {
             labels.insert(Name::new(&label.key).ok()?, Name::new(&label.value).ok()?);
@@ -196,7 +196,7 @@
     }
 
     /// The announcement that gives this server.
-    pub fn announce(&self, name: &Name) -> log::Announce {
+    pub fn to_announce(&self, name: &Name) -> log::Announce {
         let label = |(key, value): (&Name, &Name)| log::Label {
             key: key.to_string(),
             value: value.to_string(),
@@ -219,7 +219,7 @@
 
 impl Entry {
     /// An entry as its command gives it; `None` when a part can't be read.
-    pub fn read(join: &log::Join) -> Option<(Name, Self)> {
+    pub fn from_join(join: &log::Join) -> Option<(Name, Self)> {
         let entry = Self {
             incarnation: join.incarnation,
             address: join.address.parse().ok()?,
@@ -233,7 +233,7 @@
     }
 
     /// The command that gives this entry.
-    pub fn join(&self, name: &Name) -> log::Join {
+    pub fn to_join(&self, name: &Name) -> log::Join {
         log::Join {
             entry: name.to_string(),
             incarnation: self.incarnation,
--- a/components/control/src/trace.rs
+++ b/components/control/src/trace.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 
-use crate::evidence::Cause;
+use crate::detector::Cause;
 
 /// One failover as its leader saw it. Times are of the leader's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -2,18 +2,18 @@
 
 use base::prelude::*;
 
-use crate::leader::{Ask, Unreached};
+use crate::leader::{Ask, ProbeError};
 
 /// Time without an answer after which a server counts as silent. A busy server
 /// answers late, and no failover is worth it for load alone.
-pub const SILENT: Duration = Duration::from_millis(700);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time between two reports of a server whose group is well: its keepers watch
 /// it, and a symptom of theirs makes the leader ask at once.
-pub const CALM_PACE: Duration = Duration::from_secs(1);
+pub const HEALTHY_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Age up to which a report says how a server is now.
-pub const FRESH: Duration = Duration::from_millis(500);
+pub const FRESH_AGE_LIMIT: Duration = Duration::from_millis(500);
 
 /// Time after which the end of a probe is no longer waited for.
 const LOST: Duration = Duration::from_secs(2);
@@ -32,7 +32,7 @@
     status: Option<Status>,
     heard: Option<Instant>,
     asked: Option<Instant>,
-    failed: Option<(Unreached, Instant)>,
+    failed: Option<(ProbeError, Instant)>,
     failures: u32,
     order: Option<(Ask, Instant)>,
 }
@@ -45,20 +45,22 @@
 
     /// Its newest report, when it says how the server is now.
     pub fn fresh(&self, now: Instant) -> Option<&Status> {
-        let heard = self.heard.filter(|&heard| now.since(heard) <= FRESH)?;
+        let heard = self.heard.filter(|&heard| now.since(heard) <= FRESH_AGE_LIMIT)?;
         let broken = self.failed.is_some_and(|(_, at)| at > heard);
         self.status.as_ref().filter(|_| !broken)
     }
 
     /// Its newest report, when it is no older than a well group's may be.
-    pub fn lately(&self, now: Instant) -> Option<&Status> {
-        let late = self.heard.is_none_or(|heard| now.since(heard) > CALM_PACE + FRESH);
+    pub fn recent(&self, now: Instant) -> Option<&Status> {
+        let late = self
+            .heard
+            .is_none_or(|heard| now.since(heard) > HEALTHY_PROBE_INTERVAL + FRESH_AGE_LIMIT);
         self.status.as_ref().filter(|_| !late && self.failures == 0)
     }
 
     /// Whether a report is to be asked for now; `calm` when the group is well.
     pub fn is_due(&self, now: Instant, calm: bool) -> bool {
-        if calm && self.heard.is_some_and(|heard| now.since(heard) < CALM_PACE) {
+        if calm && self.heard.is_some_and(|heard| now.since(heard) < HEALTHY_PROBE_INTERVAL) {
             return false;
         }
         if let Some(asked) = self.asked {
@@ -73,7 +75,7 @@
     }
 
     /// Whether its newest report shows it in `term`, in touch with the primary.
-    pub fn is_well(&self, term: Term, lost: Duration) -> bool {
+    pub fn is_healthy(&self, term: Term, lost: Duration) -> bool {
         let well = |status: &Status| {
             status.term == term && status.log_term == term && status.silence <= lost
         };
@@ -81,29 +83,29 @@
     }
 
     /// Takes a time off its silence in which the leader itself stood still.
-    pub fn forgive(&mut self, gap: Duration) {
+    pub fn exclude_stall(&mut self, gap: Duration) {
         for at in [&mut self.asked, &mut self.heard].into_iter().flatten() {
             *at += gap;
         }
     }
 
     /// Notes that a report was asked for.
-    pub fn ask(&mut self, now: Instant) {
+    pub fn record_ask(&mut self, now: Instant) {
         self.asked = Some(now);
     }
 
     /// Whether an order may be sent: none is under way.
-    pub fn is_free(&self, now: Instant) -> bool {
+    pub fn accepts_order(&self, now: Instant) -> bool {
         self.order.is_none_or(|(_, at)| now.since(at) > LOST)
     }
 
     /// Notes that an order was sent.
-    pub fn order(&mut self, now: Instant, ask: Ask) {
+    pub fn record_order(&mut self, now: Instant, ask: Ask) {
         self.order = Some((ask, now));
     }
 
     /// Takes the end of a probe.
-    pub fn probed(&mut self, now: Instant, ask: Ask, result: Result<&Status, Unreached>) {
+    pub fn record_result(&mut self, now: Instant, ask: Ask, result: Result<&Status, ProbeError>) {
         if ask == Ask::Status {
             self.asked = None;
         } else if self.order.is_some_and(|(order, _)| order == ask) {
@@ -135,21 +137,21 @@
     /// Failures in a row, when the last one found its process gone.
     pub fn refusals(&self) -> u32 {
         match self.failed {
-            Some((Unreached::Refused, _)) => self.failures,
+            Some((ProbeError::Refused, _)) => self.failures,
             _ => 0,
         }
     }
 
-    /// Whether it left a probe without an answer for [`SILENT`].
+    /// Whether it left a probe without an answer for [`SILENCE_TIMEOUT`].
     pub fn is_silent(&self, now: Instant) -> bool {
-        let waits = self.asked.is_some_and(|asked| now.since(asked) >= SILENT);
-        let failed = matches!(self.failed, Some((Unreached::Silent, _)));
-        let unheard = self.heard.is_none_or(|heard| now.since(heard) >= SILENT);
+        let waits = self.asked.is_some_and(|asked| now.since(asked) >= SILENCE_TIMEOUT);
+        let failed = matches!(self.failed, Some((ProbeError::Silent, _)));
+        let unheard = self.heard.is_none_or(|heard| now.since(heard) >= SILENCE_TIMEOUT);
         (waits || failed) && unheard
     }
 
     /// How long a report has been waited for.
-    pub fn unanswered(&self, now: Instant) -> Duration {
+    pub fn waiting_time(&self, now: Instant) -> Duration {
         self.asked.map_or(Duration::ZERO, |asked| now.since(asked))
     }
 
--- a/components/control/tests/configuration.rs
+++ b/components/control/tests/configuration.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use control::changes::{Changes, KEPT};
+use control::changes::{Changes, MAX_ANSWERS};
 use control::{Answer, Outcome, State};
 use wire::log::{Command, Configure, command};
 
@@ -132,10 +132,10 @@
 #[test]
 fn keeps_the_newest_answers_only() {
     let mut changes = Changes::default();
-    for version in 0..=KEPT as u64 {
+    for version in 0..=MAX_ANSWERS as u64 {
         changes.insert(version.to_string(), Answer::Conflict { version });
     }
-    assert_eq!(changes.len(), KEPT);
+    assert_eq!(changes.len(), MAX_ANSWERS);
     assert_eq!(changes.get("0"), None);
     assert_eq!(changes.get("1"), Some(&Answer::Conflict { version: 1 }));
 }
--- a/components/control/tests/succession.rs
+++ b/components/control/tests/designation.rs
@@ -4,8 +4,8 @@
 
 use base::prelude::*;
 use control::leader::TICK;
-use control::lease::LEASE;
-use control::{Ask, Effect, Event, Leader, Past, Phase, State, Unreached};
+use control::lease::LEASE_DURATION;
+use control::{Ask, Effect, Event, Leader, Leadership, Phase, ProbeError, State};
 use wire::control::{Seal, Sight, Symptom};
 use wire::log::{Announce, Command, Join, Part, Replace, command};
 
@@ -47,7 +47,8 @@
 impl World {
     /// A group with a primary and two replicas, kept by two entries.
     fn new() -> Self {
-        let leader = Leader::heir(Instant::ZERO, Past { token: TOKEN, chosen: None });
+        let leader =
+            Leader::with_leadership(Instant::ZERO, Leadership { token: TOKEN, last_chosen: None });
         let mut world = Self {
             now: Instant::ZERO,
             state: State::default(),
@@ -133,7 +134,7 @@
             let lasting = now + Duration::from_millis(700);
             match known.state {
                 Health::Silent => self.probes.push((lasting, server, ask)),
-                Health::Refusing => self.told(server, ask, Err(Unreached::Refused)),
+                Health::Refusing => self.told(server, ask, Err(ProbeError::Refused)),
                 Health::Up => {
                     if matches!(ask, Ask::Designate { .. }) && self.obeys {
                         self.lead(&server);
@@ -169,7 +170,7 @@
         }
     }
 
-    fn told(&mut self, server: Name, ask: Ask, result: Result<Status, Unreached>) {
+    fn told(&mut self, server: Name, ask: Ask, result: Result<Status, ProbeError>) {
         self.tell(Event::Probed { group: name("g"), server, ask, result });
     }
 
@@ -317,7 +318,8 @@
     // the earlier leader gave it up, and a beat may have been confirmed since
     let part = Part { entry: "e2".to_owned(), incarnation: 1, over: false };
     world.commit(command::Body::Part(part));
-    world.leader = Leader::heir(world.now, Past { token: TOKEN + 1, chosen: None });
+    world.leader =
+        Leader::with_leadership(world.now, Leadership { token: TOKEN + 1, last_chosen: None });
     world.seal("e1", 100);
     world.pass(1_500);
     assert_eq!(world.phase(), Phase::Intended, "its lease may still run");
@@ -350,10 +352,10 @@
     world.seal("e2", 100);
     world.pass(500);
     assert!(matches!(world.phase(), Phase::Chosen { .. }));
-    let past = Past { token: TOKEN + 1, chosen: Some(world.now) };
-    world.leader = Leader::heir(world.now, past);
+    let past = Leadership { token: TOKEN + 1, last_chosen: Some(world.now) };
+    world.leader = Leader::with_leadership(world.now, past);
     world.designated.clear();
-    world.pass(LEASE.as_millis() as u64 - 200);
+    world.pass(LEASE_DURATION.as_millis() as u64 - 200);
     assert!(world.designated.is_empty());
     world.pass(1_000);
     assert_eq!(world.designated.first().map(|(_, token)| *token), Some(TOKEN + 1));
--- a/components/control/tests/failover.rs
+++ b/components/control/tests/failover.rs
@@ -9,7 +9,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
-use control::{Ask, Effect, Event, Flaw, Leader, Phase, State, Unreached};
+use control::{Ask, Effect, Event, Flaw, Leader, Phase, ProbeError, State};
 use group::{Record, Server, replicate};
 use wire::control::{Sight, Symptom};
 use wire::log::{Announce, Command, Configure, command};
@@ -81,7 +81,7 @@
             now: Instant::ZERO,
             servers,
             state,
-            leader: Leader::flawed(Instant::ZERO, flaw),
+            leader: Leader::with_flaw(Instant::ZERO, flaw),
             epoch: 0,
             flaw,
             due: BTreeMap::new(),
@@ -135,15 +135,15 @@
             15 if ask != Ask::Status => {
                 let late = Duration::from_millis(u.int_in_range(0..=3_000)?);
                 self.at(late, Action::Run { epoch, server: index, ask, answers: false });
-                self.fail(silent, index, ask, Unreached::Silent);
+                self.fail(silent, index, ask, ProbeError::Silent);
             }
-            14 if ask != Ask::Status => self.fail(silent, index, ask, Unreached::Silent),
+            14 if ask != Ask::Status => self.fail(silent, index, ask, ProbeError::Silent),
             _ => self.at(run, Action::Run { epoch, server: index, ask, answers: true }),
         }
         Ok(())
     }
 
-    fn fail(&mut self, after: Duration, index: usize, ask: Ask, unreached: Unreached) {
+    fn fail(&mut self, after: Duration, index: usize, ask: Ask, unreached: ProbeError) {
         let (group, server) = (Name::new("g").unwrap(), self.servers[index].name.clone());
         let event = Event::Probed { group, server, ask, result: Err(unreached) };
         let epoch = self.epoch;
@@ -159,7 +159,7 @@
     ) -> Result<std::result::Result<(), Violation>> {
         let server = &mut self.servers[index];
         if !server.up || server.unheard {
-            let unreached = if server.up { Unreached::Silent } else { Unreached::Refused };
+            let unreached = if server.up { ProbeError::Silent } else { ProbeError::Refused };
             let after = if server.up { 300 } else { 1 };
             if answers {
                 self.fail(Duration::from_millis(after), index, ask, unreached);
@@ -318,7 +318,7 @@
         }
         self.proposals.truncate(keep);
         self.epoch += 1;
-        self.leader = Leader::flawed(self.now, self.flaw);
+        self.leader = Leader::with_flaw(self.now, self.flaw);
         Ok(())
     }
 
@@ -538,7 +538,7 @@
     let run = |u: &mut Unstructured<'_>| {
         let (mut world, primary) = World::calm(u)?;
         let name = world.servers[primary].name.clone();
-        let mut announce = world.state.servers[&name].announce(&name);
+        let mut announce = world.state.servers[&name].to_announce(&name);
         announce.leaving = true;
         let index = world.state.index + 1;
         world.state.apply(index, &wrap(command::Body::Announce(announce)));
--- a/components/control/tests/leader.rs
+++ b/components/control/tests/leader.rs
@@ -1,7 +1,7 @@
 //! Single decisions of a leader.
 
 use base::prelude::*;
-use control::lease::{LEASE, MARGIN};
+use control::lease::{LEASE_DURATION, LEASE_MARGIN};
 use control::{Ask, Effect, Event, Flaw, Leader, Outcome, Refusal, State};
 use wire::log::{Announce, Assign, Command, Configure, Establish, Join, Part, command};
 
@@ -178,7 +178,7 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    world.pass(LEASE + MARGIN, &[]);
+    world.pass(LEASE_DURATION + LEASE_MARGIN, &[]);
     assert!(world.state.entries.contains_key("e1"));
     world.pass(TICK * 3, &[]);
     assert!(!world.state.entries.contains_key("e1"));
@@ -204,9 +204,9 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    world.pass(LEASE, &[]);
+    world.pass(LEASE_DURATION, &[]);
     world.leader = Leader::new(world.now);
-    world.pass(LEASE, &[]);
+    world.pass(LEASE_DURATION, &[]);
     assert!(world.state.entries.contains_key("e1"));
 }
 
@@ -216,7 +216,7 @@
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
     world.tell(Event::Joined(join("e1", 2, "a")));
-    world.pass(LEASE, &[("e1", 2)]);
+    world.pass(LEASE_DURATION, &[("e1", 2)]);
     assert_eq!(world.state.groups["g"].lease("e1").unwrap().incarnation, 1);
     world.pass(Duration::from_secs(1), &[("e1", 2)]);
     assert_eq!(world.state.groups["g"].lease("e1").unwrap().incarnation, 2);
@@ -230,9 +230,9 @@
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
     let part = Part { entry: "e1".to_owned(), incarnation: 1, over: false };
     world.commit(command::Body::Part(part));
-    world.leader = Leader::flawed(world.now, flaw);
+    world.leader = Leader::with_flaw(world.now, flaw);
     world.tell(Event::Joined(join("e2", 1, "a")));
-    world.pass(LEASE, &[("e2", 1)]);
+    world.pass(LEASE_DURATION, &[("e2", 1)]);
     let early = world.state.groups["g"].lease("e2").is_some();
     world.pass(Duration::from_secs(2), &[("e2", 1)]);
     assert!(world.state.groups["g"].lease("e2").is_some(), "it is granted in the end");
@@ -373,7 +373,7 @@
     world.commit(command::Body::Establish(establish));
     for _ in 0..100 {
         let (group, server) = (name("g"), name("s0"));
-        let result = Err(control::Unreached::Refused);
+        let result = Err(control::ProbeError::Refused);
         world.tell(Event::Probed { group, server, ask: Ask::Status, result });
         world.report("s1", 4, Role::Replica);
         world.report("s2", 4, Role::Replica);
--- a/components/control/tests/leases.rs
+++ b/components/control/tests/leases.rs
@@ -8,7 +8,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
-use control::lease::{BEAT, LEASE};
+use control::lease::{HEARTBEAT_INTERVAL, LEASE_DURATION};
 use control::{Effect, Event, Flaw, Leader, State};
 use wire::log::{Announce, Command, Configure, Drain, Join, Share, command};
 
@@ -115,7 +115,7 @@
             entries: (0..ENTRIES).map(|_| Entry::default()).collect(),
             state: State::default(),
             log: Vec::new(),
-            leader: Leader::flawed(Instant::ZERO, flaw),
+            leader: Leader::with_flaw(Instant::ZERO, flaw),
             epoch: 0,
             flaw,
             due: BTreeMap::new(),
@@ -254,14 +254,14 @@
         entry.waiting.retain(|(index, sent)| {
             let counts = *index <= applied;
             if counts {
-                until = until.max(*sent + LEASE);
+                until = until.max(*sent + LEASE_DURATION);
             }
             !counts
         });
         entry.lease_until = until;
         give_up(u, entry, &name(at))?;
         if self.now >= entry.next_beat {
-            entry.next_beat = self.now + BEAT;
+            entry.next_beat = self.now + HEARTBEAT_INTERVAL;
             let isolated = entry.isolated;
             let (incarnation, returned) = (entry.incarnation, entry.given.clone());
             let absent =
@@ -342,7 +342,7 @@
             self.due.remove(key);
         }
         self.epoch += 1;
-        self.leader = Leader::flawed(self.now, self.flaw);
+        self.leader = Leader::with_flaw(self.now, self.flaw);
         Ok(())
     }
 
--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -12,7 +12,7 @@
 
 use base::clock::Clock;
 use base::prelude::*;
-use control::lease::BEAT;
+use control::lease::HEARTBEAT_INTERVAL;
 use link::{Key, Peer, Purpose, Reader, Writer};
 use rand::RngExt;
 use slog::Logger;
@@ -173,7 +173,7 @@
     let hello = Follow { join: Some(settings.join.clone()), applied };
     send(&mut writer, up::Body::Follow(hello)).await?;
     send_seals(&view, &mut writer).await?;
-    let mut beats = ticks(BEAT);
+    let mut beats = ticks(HEARTBEAT_INTERVAL);
     let mut checks = ticks(CHECK);
     loop {
         tokio::select! {
--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -141,7 +141,7 @@
     /// Index of the newest command that took something from its leases.
     fn reduced(&self, state: &State) -> u64 {
         let holds = |group: &&control::Group| group.lease(&self.join.entry).is_some();
-        let reduced = state.groups.values().filter(holds).map(|group| group.reduced);
+        let reduced = state.groups.values().filter(holds).map(|group| group.reduced_index);
         reduced.max().unwrap_or_default()
     }
 
@@ -232,7 +232,7 @@
             if applied < confirm.index {
                 return true;
             }
-            let lease = Duration::from_millis(confirm.lease_ms).min(control::lease::LEASE);
+            let lease = Duration::from_millis(confirm.lease_ms).min(control::lease::LEASE_DURATION);
             view.extend(*sent + lease);
             false
         });
@@ -283,7 +283,7 @@
         for entry in &due {
             match &entry.command {
                 Some(command) => drop(state.apply(entry.index, command)),
-                None => state.skip(entry.index),
+                None => state.skip_to(entry.index),
             }
         }
     });
--- a/components/entry/tests/follow.rs
+++ b/components/entry/tests/follow.rs
@@ -122,7 +122,7 @@
     assert_eq!(entry.view.lease_until(), Instant::ZERO);
     send(&mut writer, entries(3..=3)).await;
     leased(&entry).await;
-    assert!(entry.view.lease_until() <= entry.clock.now() + control::lease::LEASE);
+    assert!(entry.view.lease_until() <= entry.clock.now() + control::lease::LEASE_DURATION);
 }
 
 #[tokio::test]
@@ -143,7 +143,7 @@
     let entry = start(vec![address]);
     let (_reader, mut writer, _) = accept(&listener).await;
     let mut old = control::State::default();
-    old.skip(2);
+    old.skip_to(2);
     send(&mut writer, entries(1..=4)).await;
     let bytes = old.encode();
     let (half, length) = (bytes.len() / 2, bytes.len() as u64);
--- a/components/member/src/answer.rs
+++ b/components/member/src/answer.rs
@@ -120,7 +120,7 @@
 
     fn confirm_beat(&mut self, key: Key<Follower>, sequence: u64, index: u64) {
         self.meter.confirmed.inc();
-        let lease_ms = control::lease::LEASE.as_millis() as u64;
+        let lease_ms = control::lease::LEASE_DURATION.as_millis() as u64;
         let confirm = Confirm { sequence, index, lease_ms };
         self.give(key, Down { body: Some(down::Body::Confirm(confirm)) });
     }
--- a/components/member/src/apply.rs
+++ b/components/member/src/apply.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use control::image::Malformed;
-use control::{Outcome, Past, State};
+use control::{Leadership, Outcome, State};
 use quorum::{Event, Snapshot};
 use slog::{crit, info};
 use telemetry::event::Applied;
@@ -43,7 +43,7 @@
             self.tell(index, command, &outcome);
             Verdict::Applied { index, outcome }
         } else {
-            self.state.skip(index);
+            self.state.skip_to(index);
             Verdict::Changed { index }
         };
         self.meter.applied.inc();
@@ -54,8 +54,8 @@
         }
         self.answer_reads();
         if self.part.leads && self.leader.is_none() && entry.term == self.part.term {
-            let past = Past { token: entry.term, ..self.past };
-            self.leader = Some(control::Leader::heir(self.now(), past));
+            let past = Leadership { token: entry.term, ..self.past };
+            self.leader = Some(control::Leader::with_leadership(self.now(), past));
             info!(self.log, "decides for control"; "term" => entry.term, "index" => index);
         }
         self.lead(control::Event::Applied { index });
@@ -65,11 +65,11 @@
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
         match state(snapshot) {
             Ok(mut state) => {
-                state.skip(snapshot.index);
+                state.skip_to(snapshot.index);
                 self.state = state;
                 // what it passed over may have just happened
                 let now = Some(self.now());
-                self.past = Past { chosen: now, ..self.past };
+                self.past = Leadership { last_chosen: now, ..self.past };
                 info!(self.log, "took a snapshot"; "index" => snapshot.index);
             }
             Err(report) => {
@@ -112,7 +112,7 @@
     /// Notes when things happened that a later leader must know the time of.
     fn remember(&mut self, command: &Command) {
         if matches!(command.body, Some(Body::Choose(_))) && self.leader.is_none() {
-            self.past.chosen = Some(self.now());
+            self.past.last_chosen = Some(self.now());
         }
     }
 
--- a/components/member/src/core.rs
+++ b/components/member/src/core.rs
@@ -8,7 +8,7 @@
 use base::clock::Clock;
 use base::prelude::*;
 use bytes::Bytes;
-use control::{Leader, Past, State};
+use control::{Leader, State};
 use quorum::{Event, Part, Replica};
 use slog::{Logger, crit, info};
 use telemetry::Health;
@@ -89,7 +89,7 @@
     /// Since when no leader is known.
     pub(crate) unled: Option<Instant>,
     /// When things happened that a leader must know the time of.
-    pub(crate) past: Past,
+    pub(crate) past: control::Leadership,
     /// Hosts that asked to be members, while this member leads.
     pub(crate) roster: Roster,
     /// Whether it has known no leader for some time.
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -282,7 +282,7 @@
             due: std::collections::VecDeque::new(),
             late: Vec::new(),
             unled: Some(now),
-            past: control::Past { token: 0, chosen: Some(now) },
+            past: control::Leadership { token: 0, last_chosen: Some(now) },
             roster: Roster::new(tolerance),
             asks,
         };
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -11,7 +11,7 @@
 use backend::{Outside, Promotion, sql};
 use base::prelude::*;
 use control::leader::STATUS_WAIT;
-use control::{Ask, Event, Unreached};
+use control::{Ask, Event, ProbeError};
 use tokio::sync::mpsc;
 
 use crate::host::Scope;
@@ -84,11 +84,11 @@
         let put = self.lines.get(&line)?.try_send(Question { group, ask });
         let (mpsc::error::TrySendError::Full(question)
         | mpsc::error::TrySendError::Closed(question)) = put.err()?;
-        Some(probed(question.group, line.server, question.ask, Err(Unreached::Silent)))
+        Some(probed(question.group, line.server, question.ask, Err(ProbeError::Silent)))
     }
 }
 
-fn probed(group: Name, server: Name, ask: Ask, result: Result<Status, Unreached>) -> Event {
+fn probed(group: Name, server: Name, ask: Ask, result: Result<Status, ProbeError>) -> Event {
     Event::Probed { group, server, ask, result }
 }
 
@@ -150,7 +150,7 @@
     open: &mut Option<Open>,
     address: SocketAddr,
     ask: Ask,
-) -> Result<Status, Unreached> {
+) -> Result<Status, ProbeError> {
     let stood = open.is_some();
     match try_answer(open, address, ask).await {
         Err(backend::Failure::Broken) if stood => try_answer(open, address, ask).await,
@@ -188,10 +188,10 @@
     Ok(Open { probe, version: 0 })
 }
 
-fn unreached(failure: backend::Failure) -> Unreached {
+fn unreached(failure: backend::Failure) -> ProbeError {
     match failure {
-        backend::Failure::Refused => Unreached::Refused,
-        backend::Failure::Timeout | backend::Failure::Broken => Unreached::Silent,
-        backend::Failure::Rejected | backend::Failure::Malformed => Unreached::Rejected,
+        backend::Failure::Refused => ProbeError::Refused,
+        backend::Failure::Timeout | backend::Failure::Broken => ProbeError::Silent,
+        backend::Failure::Rejected | backend::Failure::Malformed => ProbeError::Rejected,
     }
 }
--- a/components/member/src/web.rs
+++ b/components/member/src/web.rs
@@ -220,7 +220,7 @@
     Json(announce): Json<Announce>,
 ) -> Result<Json<Renew>, Failure> {
     let announce = log::Announce::from(announce);
-    if control::Server::read(&announce).is_none() {
+    if control::Server::from_announce(&announce).is_none() {
         return Err(Failure::Unreadable);
     }
     shared.api.ask(|reply| Input::Announce { announce, reply }).await??;
--- a/components/member/tests/follow.rs
+++ b/components/member/tests/follow.rs
@@ -2,7 +2,7 @@
 
 mod trio;
 
-use control::lease::LEASE;
+use control::lease::LEASE_DURATION;
 use std::time::Duration;
 
 use link::{Peer, Purpose, Reader, Writer};
@@ -67,7 +67,10 @@
             }
         }
         let confirm = beat(&mut reader, &mut writer, 7).await;
-        assert_eq!((confirm.sequence, u128::from(confirm.lease_ms)), (7, LEASE.as_millis()));
+        assert_eq!(
+            (confirm.sequence, u128::from(confirm.lease_ms)),
+            (7, LEASE_DURATION.as_millis())
+        );
         assert!(confirm.index >= index, "{confirm:?} before {index}");
     }
 }
--- a/programs/trefoil-slope/src/cmd/beat.rs
+++ b/programs/trefoil-slope/src/cmd/beat.rs
@@ -44,7 +44,7 @@
     let mut out = Vec::new();
     let mut now = Instant::ZERO;
     let leader_round = median(CALLS, || {
-        now += control::lease::BEAT;
+        now += control::lease::HEARTBEAT_INTERVAL;
         for entry in &names {
             let beat = Event::Beat {
                 entry: entry.clone(),
