--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -1,4 +1,4 @@
-//! How one command of the log changes the state.
+//! Applies one command of the log to the state.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry as Slot;
@@ -14,50 +14,52 @@
 use crate::changes::Answer;
 use crate::state::{Entry, Group, Phase, Server, State};
 
-/// What became of a command.
+/// Outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It took effect.
+    /// The command changed the state.
     Applied,
-    /// It said what was known.
+    /// The command repeated what the state already contains.
     Unchanged,
-    /// A change of the declarations, with the first answer that its id got.
+    /// The command was a change of the declarations; carries the first answer to its id.
     Answered(Answer),
-    /// It has no effect.
+    /// The command was refused and has no effect.
     Refused(Refusal),
 }
 
-/// Why a command has no effect.
+/// Reason for which a command was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Refusal {
-    /// Its index was applied before.
+    /// The index of the command was applied before.
     Index,
-    /// A name, address or part of it can't be read.
+    /// A field of the command, such as a name or an address, is malformed.
     Malformed,
-    /// A later incarnation is known.
+    /// A later incarnation is known; to expire a server, any other incarnation.
     Incarnation,
-    /// The same incarnation is known at another address.
+    /// The same incarnation is known with other data, such as another address, or
+    /// a later server has taken the address.
     Address,
     /// All seats of the group are taken.
     Seats,
     /// The server has a seat in another group.
     Group,
-    /// The group, server or entry is not known.
+    /// The group, server or entry is unknown.
     Unknown,
-    /// The leases have changed since.
+    /// The leases have changed since the proposal.
     Generation,
-    /// The shares of a server would pass its limit.
+    /// The shares of a server would exceed its limit.
     Limit,
-    /// A later term is open or established, or another failover is.
+    /// A later term is intended or established, or the failover of this term is in
+    /// another phase.
     Term,
 }
 
 impl std::error::Error for Refusal {}
 
 impl State {
-    /// Applies the command at an index. An index that is not above the last
-    /// one changes nothing.
+    /// Applies the command at an index. A command whose index is not above the
+    /// last applied one changes nothing.
     pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
         if index <= self.index {
             return Outcome::Refused(Refusal::Index);
@@ -103,13 +105,14 @@
         Answer::Accepted { version: self.version, index }
     }
 
-    /// Takes a whole edition, unless one as new or newer is in force.
+    /// Replaces the declarations by a whole edition, unless the same or a newer
+    /// edition is in force.
     fn replace(&mut self, replace: &log::Replace) -> Result<Outcome, Refusal> {
         if replace.edition <= self.edition {
             return Ok(Outcome::Unchanged);
         }
         let content = pack::unpack_text(&replace.content);
-        let content = content.map_err(|_garbled| Refusal::Malformed)?;
+        let content = content.map_err(|_malformed| Refusal::Malformed)?;
         let declarations = Declarations::parse(&content);
         let declarations = declarations.map_err(|_faults| Refusal::Malformed)?;
         self.edition = replace.edition;
@@ -120,7 +123,7 @@
         Ok(Outcome::Applied)
     }
 
-    /// The declarations as the change leaves them.
+    /// The declarations that result from a change.
     fn declared(&self, configure: &log::Configure) -> Result<Declarations, Vec<config::Fault>> {
         if configure.patch.is_empty() {
             return Declarations::parse(&configure.content);
@@ -129,7 +132,7 @@
         patch.apply(&self.declarations)
     }
 
-    /// Makes each declared group known and fills its seats.
+    /// Adds each declared group and fills its seats.
     fn seat(&mut self) {
         let mut wanting: BTreeMap<&Name, SmallVec<[&Name; 3]>> = BTreeMap::new();
         for (server, known) in self.servers.iter().filter(|(_, known)| !known.expired) {
@@ -164,7 +167,7 @@
         Ok(Outcome::Applied)
     }
 
-    /// Forgets the servers whose address a later one has taken.
+    /// Removes the servers whose address a later server has taken.
     fn evict(&mut self, name: &Name, server: &Server) {
         let taken = |(other, known): (&Name, &Server)| {
             (other != name && known.address == server.address).then(|| other.clone())
@@ -182,10 +185,10 @@
         }
     }
 
-    /// What an announcement would change, `None` when it says what is known.
+    /// The server that an announcement would store; `None` if it changes nothing.
     ///
     /// # Errors
-    /// Why it would be refused.
+    /// The reason for which the announcement would be refused.
     pub fn check_announce(
         &self,
         announce: &log::Announce,
@@ -196,7 +199,7 @@
             return Err(Refusal::Address);
         }
         if let Some(known) = self.servers.get(&name) {
-            // an announcement that was held up must not bring a leaving server back
+            // a delayed announcement must not bring a leaving server back
             let same = known.incarnation == server.incarnation;
             server.leaving |= acknowledges && same && known.leaving;
             if known.incarnation > server.incarnation {
@@ -209,11 +212,11 @@
                 return Ok(None);
             }
         }
-        self.judge_seat(&name, &server.group)?;
+        self.check_seat(&name, &server.group)?;
         Ok(Some((name, server)))
     }
 
-    /// Whether a later server listens at the address.
+    /// Whether another server of the same or a later incarnation has the address.
     fn is_taken(&self, name: &Name, server: &Server) -> bool {
         self.servers.iter().any(|(other, known)| {
             other != name
@@ -222,7 +225,7 @@
         })
     }
 
-    fn judge_seat(&self, name: &Name, group: &Name) -> Result<(), Refusal> {
+    fn check_seat(&self, name: &Name, group: &Name) -> Result<(), Refusal> {
         let seats = |known: &Group| known.seats.contains(name);
         if self.groups.iter().any(|(other, known)| other != group && seats(known)) {
             return Err(Refusal::Group);
@@ -281,8 +284,8 @@
         }
     }
 
-    /// Takes all leases of the incarnation, and of earlier ones, and forgets
-    /// the entry unless it started again since.
+    /// Ends all leases of the incarnation and of earlier ones, and removes the
+    /// entry unless a later incarnation has joined.
     fn part(&mut self, index: u64, part: &log::Part) -> Result<Outcome, Refusal> {
         let name = Name::new(&part.entry).map_err(|_malformed| Refusal::Malformed)?;
         let start = (name, part.incarnation);
@@ -306,7 +309,7 @@
         if known.is_some_and(|entry| entry.incarnation <= part.incarnation) {
             self.entries.remove(part.entry.as_str());
             found = true;
-            // a lease that is on its way to it must not be granted
+            // a lease proposed for the removed entry must be refused
             self.groups.values_mut().for_each(|group| group.generation += 1);
         }
         if found { Ok(Outcome::Applied) } else { Err(Refusal::Unknown) }
@@ -317,9 +320,9 @@
         if group.generation != assign.base {
             return Err(Refusal::Generation);
         }
-        let twice =
+        let is_duplicate =
             |at: usize| assign.leases[..at].iter().any(|l| l.entry == assign.leases[at].entry);
-        if (0..assign.leases.len()).any(twice) {
+        if (0..assign.leases.len()).any(is_duplicate) {
             return Err(Refusal::Malformed);
         }
         self.check_limits(group, assign)?;
@@ -340,8 +343,8 @@
         Ok(Outcome::Applied)
     }
 
-    /// Refuses shares that pass a server's limit, unless they only shrink
-    /// there, as they must after the server lowered it.
+    /// Refuses shares that exceed a server's limit, unless no share of that server
+    /// grows: after the server lowered its limit, shares shrink step by step.
     fn check_limits(&self, group: &Group, assign: &log::Assign) -> Result<(), Refusal> {
         let shares = || assign.leases.iter().flat_map(|lease| &lease.shares);
         for share in shares() {
@@ -418,8 +421,8 @@
 }
 
 impl Group {
-    /// Drops seats beyond `seats`: those of servers that are gone first, and
-    /// the primary's last.
+    /// Drops the seats beyond `seats`: those of servers that are `gone` (unknown or
+    /// expired) first, and that of the primary last.
     fn shrink(&mut self, seats: usize, gone: impl Fn(&Name) -> bool) {
         let primary = self.primary.clone();
         let replica = |seat: &Name| Some(seat) != primary.as_ref();
@@ -432,8 +435,8 @@
     }
 }
 
-/// Whether new leases take something from the holder of an old one. One that
-/// was returning and is gone was given up before.
+/// Whether the new leases reduce an old one. The end of a returning lease is no
+/// reduction, since its holder has released it before.
 fn reduces(assign: &log::Assign, old: &log::Lease) -> bool {
     let new = assign
         .leases
@@ -451,7 +454,7 @@
     })
 }
 
-/// Whether a lease has a larger share of a server than before.
+/// Whether any lease has a larger share of a server than before.
 fn grows(group: &Group, assign: &log::Assign, server: &str) -> bool {
     let share = |lease: &log::Lease| {
         let share = lease.shares.iter().find(|share| share.server == server);
--- a/components/control/src/changes.rs
+++ b/components/control/src/changes.rs
@@ -1,33 +1,33 @@
-//! Answers to changes of the declarations, kept by the id of the change.
+//! Answers to changes of the declarations, keyed by the id of the change.
 //!
-//! An operator who lost an answer asks again under the same id and must get
-//! the first answer, also from another leader and after an image. Only the
-//! newest answers are kept.
+//! Changes are idempotent: an operator who lost an answer retries under the same
+//! id and must get the first answer, also from another leader and after a
+//! restore from an image. Only the newest answers are kept.
 
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
 use config::Fault;
 
-/// Answers that are kept.
+/// Number of answers that are kept.
 pub const MAX_ANSWERS: usize = 10_000;
 
 /// The answer to a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It is committed and in force.
+    /// The change is committed and in force.
     Accepted {
-        /// Version that it made.
+        /// Version of the declarations that the change created.
         version: u64,
-        /// Index at which it was committed.
+        /// Log index at which the change was committed.
         index: u64,
     },
-    /// It started from another version than the current one.
+    /// The change was based on a version other than the current one.
     Conflict {
-        /// The current version then.
+        /// Version of the declarations when the change was applied.
         version: u64,
     },
-    /// Its content is no declarations.
+    /// The content does not parse as declarations.
     Invalid(Vec<Fault>),
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// The newest answers, by the id of the change.
+/// The newest answers, keyed by the id of the change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     order: VecDeque<String>,
@@ -54,12 +54,12 @@
 }
 
 impl Changes {
-    /// The answer that a change got, if it is still kept.
+    /// The first answer to a change, if it is still kept.
     pub fn get(&self, change: &str) -> Option<&Answer> {
         self.answers.get(change)
     }
 
-    /// Keeps the answer of a change and forgets the oldest beyond [`MAX_ANSWERS`].
+    /// Stores the answer to a change and drops the oldest answer beyond [`MAX_ANSWERS`].
     pub fn insert(&mut self, change: String, answer: Answer) {
         if self.answers.insert(change.clone(), answer).is_none() {
             self.order.push_back(change);
--- a/components/control/src/choice.rs
+++ b/components/control/src/choice.rs
@@ -1,10 +1,10 @@
-//! Which of the fenced servers becomes the primary.
+//! Chooses the primary among the fenced servers.
 //!
-//! What was acknowledged is held by a majority in its term, so among any
-//! fenced majority the highest `(log_term, received)` has it all. A server
-//! that had better not be primary (it is leaving, or its replicas can't reach
-//! it) is passed over only where the others are a majority by themselves, or
-//! one of them has as much.
+//! Each acknowledged record is held by a majority in its term, so in any fenced
+//! majority the server with the highest `(log_term, received)` has all of them.
+//! An unsuitable server (one that is leaving, or that the failover avoids) is
+//! passed over only if the suitable servers are a majority by themselves, or if
+//! one of them has an equal log.
 
 use std::collections::BTreeMap;
 
@@ -16,23 +16,23 @@
 /// A server's report after it was fenced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fenced {
-    /// Last record of its log.
+    /// Last record of the server's log.
     pub last: Mark,
-    /// Last position that reads see.
+    /// Last log position that is visible to reads.
     pub applied: Position,
 }
 
-/// The choice of a primary.
+/// The chosen primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The server.
+    /// Server to promote.
     pub server: Name,
-    /// Last record of its log.
+    /// Last record of the server's log, where the new term starts.
     pub start: Mark,
 }
 
-/// Chooses among fenced servers, at least a majority. `avoided` had better not
-/// be chosen, and neither had servers that are leaving.
+/// Chooses among the fenced servers, which must be at least a majority. Prefers
+/// not to choose `avoided` or a server that is leaving.
 pub fn choose(
     state: &State,
     group: &Group,
@@ -41,10 +41,10 @@
     avoided: Option<&Name>,
     flaw: Flaw,
 ) -> Option<Choice> {
-    let suits = |name: &Name| Some(name) != avoided && !leaves(state, name);
-    let suited = fenced.keys().filter(|name| suits(name)).count();
+    let is_suitable = |name: &Name| Some(name) != avoided && !is_leaving(state, name);
+    let suitable = fenced.keys().filter(|name| is_suitable(name)).count();
     let zone = group.primary.as_ref().and_then(|primary| state.servers.get(primary));
-    let near = |name: &Name| {
+    let is_same_zone = |name: &Name| {
         let server = state.servers.get(name);
         server.zip(zone).is_some_and(|(server, zone)| server.zone == zone.zone)
     };
@@ -53,13 +53,13 @@
             Flaw::IgnoreLogTerm => Mark { term: Term(0), ..fenced.last },
             _ => fenced.last,
         };
-        (last, suits(name), near(name), fenced.applied)
+        (last, is_suitable(name), is_same_zone(name), fenced.applied)
     };
-    let pool = fenced.iter().filter(|(name, _)| suited < majority || suits(name));
+    let pool = fenced.iter().filter(|(name, _)| suitable < majority || is_suitable(name));
     let (server, best) = pool.max_by_key(|(name, fenced)| rank(name, fenced))?;
     Some(Choice { server: server.clone(), start: best.last })
 }
 
-fn leaves(state: &State, name: &Name) -> bool {
+fn is_leaving(state: &State, name: &Name) -> bool {
     state.servers.get(name).is_none_or(|server| server.leaving)
 }
--- a/components/control/src/context.rs
+++ b/components/control/src/context.rs
@@ -1,4 +1,4 @@
-//! What a step of one group goes by.
+//! Input of one step of a group's failover.
 
 use base::prelude::*;
 
@@ -6,31 +6,33 @@
 use crate::liveness::Liveness;
 use crate::state::{Group, State};
 
-/// What a leader must know of the time before it led.
+/// Facts that a leader needs from before its election.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
-    /// Term of the quorum in which it leads; the token of its designations.
+    /// Term of the quorum in which the member leads, used as the fencing token of
+    /// its designations.
     pub token: u64,
-    /// When a server was last seen to be chosen.
+    /// When the member last applied a choice of a primary, or may have skipped one
+    /// in a snapshot.
     pub last_chosen: Option<Instant>,
 }
 
-/// What a step of a group goes by.
+/// Input of one step of a group's failover.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// The present time.
+    /// Current time.
     pub now: Instant,
-    /// The state as applied.
+    /// The applied control state.
     pub state: &'a State,
-    /// The group's name.
+    /// Name of the group.
     pub name: &'a Name,
-    /// The group.
+    /// Applied state of the group.
     pub group: &'a Group,
-    /// Which entries live, and whose leases may still run.
+    /// Which entries are alive, and whose leases may still be in force.
     pub liveness: &'a Liveness,
-    /// What the leader knows of the time before it led.
+    /// Facts from before the leader's election.
     pub leadership: Leadership,
-    /// A rule to break, in tests.
+    /// Rule to break, in tests.
     pub flaw: Flaw,
 }
 
--- a/components/control/src/designation.rs
+++ b/components/control/src/designation.rs
@@ -1,18 +1,19 @@
-//! The change of primary in a group whose servers acknowledge by themselves.
+//! Change of primary in an unfenced group, whose servers acknowledge commits by
+//! themselves.
 //!
-//! Such servers can't be fenced, so a new primary is chosen only once no
-//! keeper passes on answers of the old one. A change goes through the log, one
-//! committed step at a time:
+//! Such servers can't be fenced, so a new primary is chosen only once no keeper
+//! passes on answers of the old one. A change goes through the log, one committed
+//! step at a time:
 //!
-//! 1. `Intend(T)`: keepers that apply it end their work for the old primary and
-//!    seal: they tell the highest mark that they have acknowledged.
-//! 2. Once each lease on the group is sealed or over, the servers are asked
-//!    where they stand. `Choose` names the one that holds the most, if that is
-//!    sure to hold all that was acknowledged; else waiting is right.
-//! 3. The chosen server is designated, again and again until it leads.
-//! 4. `Establish`: keepers begin to work for it.
+//! 1. `Intend(T)`: keepers that apply this command end their work for the old
+//!    primary and seal: they report the highest mark that they have acknowledged.
+//! 2. Once each lease on the group is sealed or over, the leader asks the servers
+//!    for their positions. `Choose` names the server with the highest position, if
+//!    that server certainly holds all acknowledged records; else the leader waits.
+//! 3. The chosen server is designated, repeatedly until it leads.
+//! 4. `Establish`: keepers begin to work for the new primary.
 //!
-//! A leader that finds a change unfinished goes on where the log stands.
+//! A leader that finds an unfinished change continues at the phase in the log.
 
 use std::collections::BTreeMap;
 
@@ -28,99 +29,106 @@
 use crate::trace::Trace;
 
 /// Time for which a choice waits for the positions of all servers.
-const GRACE: Duration = Duration::from_millis(200);
+const POSITIONS_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time between two designations of a server.
-const DESIGNATE_PACE: Duration = Duration::from_millis(400);
+const DESIGNATE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for a designated server to lead before another is chosen, if it can't
-/// be reached.
+/// Time for a designated server that can't be reached to become primary before
+/// another one is chosen.
 const DESIGNATE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time between two questions to a server while a change is under way.
-const POSITION_PACE: Duration = Duration::from_millis(50);
+/// Time between two status probes of a server during the first
+/// [`FAST_PROBE_TIME`] of a change.
+const FAST_PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The same while a primary is in question, or after [`HASTE`].
-const SLOW_PACE: Duration = Duration::from_millis(250);
+/// Time between two status probes of a server while the health of the primary is
+/// in doubt, or after [`FAST_PROBE_TIME`].
+const SLOW_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which a change that is under way is followed closely.
-const HASTE: Duration = Duration::from_millis(1_500);
+/// Time from the start of a change during which servers are probed at
+/// [`FAST_PROBE_INTERVAL`].
+const FAST_PROBE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time for a new group to show a primary by itself.
-const BOOTSTRAP: Duration = Duration::from_secs(2);
+/// Time for which a new group may report a primary by itself before a change begins.
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Refusals in a row that need no keeper to agree.
-const REFUSALS: u32 = 2;
+/// Refused connections in a row that suffice without a keeper's symptom. Also the
+/// number of rejected designations in a row after which another server is chosen.
+const SUFFICIENT_REFUSALS: u32 = 2;
 
-/// Time for which all keepers must miss a primary that the leader reaches.
-const UNREACHED: Duration = Duration::from_millis(600);
+/// Time for which all keepers must report a primary as unhealthy that the leader
+/// can reach. Also the time for which a choice waits before it takes an old
+/// primary that came back.
+const CONFIRMATION_TIME: Duration = Duration::from_millis(600);
 
 /// Time without an answer to the leader after which a primary that all keepers
-/// miss is taken for silent.
-const UNANSWERED: Duration = Duration::from_millis(250);
+/// report as unhealthy counts as silent.
+const SHORT_SILENCE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time after a primary was established before it may be called cut off.
-const CALM: Duration = Duration::from_secs(2);
+/// Time after a primary was established during which it is not considered cut off.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Where a server stood.
+/// Last reported log position and role of a server.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     mark: Mark,
     role: Role,
+    /// When the probe that returned this report was sent.
     sent: Instant,
 }
 
-/// What a leader knows of one group's primary.
+/// State machine for the change of primary in one unfenced group.
 #[derive(Debug, Default)]
 pub struct Designation {
     watches: Watches,
     symptoms: Symptoms,
     seals: BTreeMap<(Name, u64), Seal>,
-    /// Questions that are open, and when each was put.
+    /// When each status probe in flight was sent, by server.
     asked: BTreeMap<Name, Instant>,
-    /// When each server was asked last.
-    tried: BTreeMap<Name, Instant>,
+    /// When the last status probe was sent, by server.
+    probed: BTreeMap<Name, Instant>,
     positions: BTreeMap<Name, Position>,
     proposed: Option<Instant>,
-    /// Since when no keeper works for the old primary, and in which term.
-    barrier: Option<(Term, Instant)>,
+    /// Intended term, and since when no keeper works for the old primary.
+    sealed_since: Option<(Term, Instant)>,
     designated: Option<Instant>,
-    /// Since when the chosen server is waited for.
+    /// Term of the chosen server, and since when the leader waits for it to lead.
     chosen: Option<(Term, Instant)>,
-    waiting: Option<Instant>,
+    bootstrap_since: Option<Instant>,
     established: Option<(Term, Instant)>,
-    unreached: Option<Instant>,
+    unhealthy_since: Option<Instant>,
     refused: u32,
     trace: Option<Trace>,
 }
 
 impl Designation {
-    /// The newest change.
+    /// Timeline of the newest change.
     pub fn trace(&self) -> Option<&Trace> {
         self.trace.as_ref()
     }
 
-    /// Whether a change is under way.
+    /// Whether a change is in progress.
     pub fn is_in_progress(&self) -> bool {
         self.trace.as_ref().is_some_and(|trace| trace.established.is_none())
     }
 
-    /// What the leader sees of the group's servers.
+    /// Probe results of the group's servers.
     pub fn watches(&self) -> &Watches {
         &self.watches
     }
 
-    /// Takes a time off all silence in which the leader itself stood still.
+    /// Excludes a stall of the leader itself from the silence of all servers.
     pub fn exclude_stall(&mut self, gap: Duration) {
         self.watches.exclude_stall(gap);
     }
 
-    /// Takes what a keeper sees.
+    /// Records a keeper's symptom.
     pub fn record_symptom(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
         self.symptoms.record(now, keeper, symptom);
     }
 
-    /// Takes a keeper's word that it has ended its work for an earlier primary.
+    /// Records the seal of a keeper that has ended its work for an earlier primary.
     pub fn record_seal(&mut self, entry: Name, incarnation: u64, seal: Seal) {
         let known = self.seals.entry((entry, incarnation)).or_default();
         if known.term <= seal.term {
@@ -128,7 +136,7 @@
         }
     }
 
-    /// Takes the end of a probe.
+    /// Records the result of a probe.
     pub fn record_result(
         &mut self,
         now: Instant,
@@ -148,11 +156,11 @@
         }
     }
 
-    /// Does what is due.
+    /// Sends the probes that are due and proposes the next command.
     pub fn step(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         self.watches.retain(&context.group.seats);
         self.positions.retain(|server, _| context.group.seats.contains(server));
-        self.ask(context, out);
+        self.probe_seats(context, out);
         match (&context.group.phase, &context.group.primary) {
             (Phase::Settled, Some(primary)) => self.settled(context, primary, out),
             (Phase::Settled, None) => self.bootstrap(context, out),
@@ -161,29 +169,29 @@
         }
     }
 
-    /// Asks servers for reports: all while a change is under way or in
-    /// question, none while the group is well.
-    fn ask(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
+    /// Sends status probes: to all servers while a change is in progress or may
+    /// become due, to none while the group is healthy.
+    fn probe_seats(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         let now = context.now;
-        let calm = self.is_calm(context);
+        let healthy = self.is_healthy(context);
         let settled = context.group.phase == Phase::Settled;
         let began = self.trace.as_ref().map(|trace| trace.noticed);
-        let hasty = !settled && began.is_some_and(|began| now.since(began) < HASTE);
-        let pace = if hasty { POSITION_PACE } else { SLOW_PACE };
+        let is_fast = !settled && began.is_some_and(|began| now.since(began) < FAST_PROBE_TIME);
+        let interval = if is_fast { FAST_PROBE_INTERVAL } else { SLOW_PROBE_INTERVAL };
         for seat in &context.group.seats {
-            let recent = self.tried.get(seat).is_some_and(|&at| now.since(at) < pace);
+            let recent = self.probed.get(seat).is_some_and(|&at| now.since(at) < interval);
             let Some(server) = context.state.servers.get(seat) else { continue };
-            if calm || recent || !self.watches.get_or_insert(seat).is_due(now, false) {
+            if healthy || recent || !self.watches.get_or_insert(seat).is_due(now, false) {
                 continue;
             }
             self.watches.get_or_insert(seat).record_ask(now);
             self.asked.insert(seat.clone(), now);
-            self.tried.insert(seat.clone(), now);
+            self.probed.insert(seat.clone(), now);
             out.push(probe(context, seat, server.address, Ask::Status));
         }
     }
 
-    fn is_calm(&self, context: &Context<'_>) -> bool {
+    fn is_healthy(&self, context: &Context<'_>) -> bool {
         let group = context.group;
         let Some(primary) = &group.primary else { return false };
         let server = context.state.servers.get(primary);
@@ -200,77 +208,78 @@
                 trace.established.get_or_insert(now);
             }
         }
-        match self.judge(context, primary) {
+        match self.replacement_cause(context, primary) {
             Some(cause) => self.intend(context, cause, out),
             None => self.trace = self.trace.take().filter(|trace| trace.established.is_some()),
         }
     }
 
-    /// Why the primary must be replaced, if it must.
-    fn judge(&mut self, context: &Context<'_>, primary: &Name) -> Option<Cause> {
+    /// The cause for which the primary must be replaced, if any.
+    fn replacement_cause(&mut self, context: &Context<'_>, primary: &Name) -> Option<Cause> {
         let (now, group) = (context.now, context.group);
         let Some(server) = context.state.servers.get(primary) else {
             return Some(Cause::Refused);
         };
-        let trouble = self.symptoms.has_unhealthy(now, primary, group.term);
-        let missed_by_all = self.misses_all(context, primary);
-        let missed = self.is_missed(context, primary, missed_by_all);
+        let unhealthy = self.symptoms.has_unhealthy(now, primary, group.term);
+        let unhealthy_to_all = self.is_unhealthy_to_all(context, primary);
+        let cut_off = self.is_cut_off(context, primary, unhealthy_to_all);
         let watch = self.watches.get_or_insert(primary);
         let refusals = watch.refusals();
-        if refusals >= REFUSALS || (refusals > 0 && trouble) {
+        if refusals >= SUFFICIENT_REFUSALS || (refusals > 0 && unhealthy) {
             return Some(Cause::Refused);
         }
-        // two vantage points and the leader's own short wait are enough
-        if missed_by_all && watch.waiting_time(now) >= UNANSWERED {
+        // all keepers and the leader's own short timeout agree
+        if unhealthy_to_all && watch.waiting_time(now) >= SHORT_SILENCE_TIMEOUT {
             return Some(Cause::Silent);
         }
-        // while its keepers are well served, only the leader is cut off from it
-        if watch.is_silent(now) && (trouble || group.leases.is_empty()) {
+        // if no keeper reports trouble, only the leader is partitioned from the primary
+        if watch.is_silent(now) && (unhealthy || group.leases.is_empty()) {
             return Some(Cause::Silent);
         }
         let fresh = watch.fresh(now);
         if fresh.is_some_and(|status| status.role == Role::Replica) {
             return Some(Cause::Demoted);
         }
-        if missed {
+        if cut_off {
             return Some(Cause::CutOff);
         }
-        (server.leaving && self.has_heir(context, primary)).then_some(Cause::Leaving)
+        (server.leaving && self.has_successor(context, primary)).then_some(Cause::Leaving)
     }
 
-    /// Whether every keeper has missed the primary for some time, or sees that
-    /// it has lost its replicas.
-    fn is_missed(&mut self, context: &Context<'_>, primary: &Name, by_all: bool) -> bool {
+    /// Whether, for [`CONFIRMATION_TIME`], all keepers have reported the
+    /// primary as unhealthy or any keeper has reported it cut off from its replicas.
+    fn is_cut_off(&mut self, context: &Context<'_>, primary: &Name, by_all: bool) -> bool {
         let (now, group) = (context.now, context.group);
-        let calm = self.established.is_some_and(|(_, at)| now.since(at) < CALM);
-        let mut troubled = self.symptoms.unhealthy(now, primary, group.term);
-        let cut = troubled.any(|(_, sight)| sight == Sight::CutOff);
-        if calm || !(cut || by_all) || !self.has_heir(context, primary) {
-            self.unreached = None;
+        let settling = self.established.is_some_and(|(_, at)| now.since(at) < SETTLE_TIME);
+        let mut unhealthy = self.symptoms.unhealthy(now, primary, group.term);
+        let cut_off = unhealthy.any(|(_, sight)| sight == Sight::CutOff);
+        if settling || !(cut_off || by_all) || !self.has_successor(context, primary) {
+            self.unhealthy_since = None;
             return false;
         }
-        let since = *self.unreached.get_or_insert(now);
-        now.since(since) >= UNREACHED
+        let since = *self.unhealthy_since.get_or_insert(now);
+        now.since(since) >= CONFIRMATION_TIME
     }
 
-    /// Whether all keepers of the group see trouble with the primary.
-    fn misses_all(&self, context: &Context<'_>, primary: &Name) -> bool {
+    /// Whether all keepers of the group report the primary as unhealthy.
+    fn is_unhealthy_to_all(&self, context: &Context<'_>, primary: &Name) -> bool {
         let (now, group) = (context.now, context.group);
-        let misses = |entry: &str| {
+        let reports = |entry: &str| {
             self.symptoms
                 .unhealthy(now, primary, group.term)
                 .any(|(name, _)| name.as_str() == entry)
         };
-        !group.leases.is_empty() && group.leases.iter().all(|lease| misses(&lease.entry))
+        !group.leases.is_empty() && group.leases.iter().all(|lease| reports(&lease.entry))
     }
 
-    /// Whether another server that stays can be reached.
-    fn has_heir(&self, context: &Context<'_>, primary: &Name) -> bool {
+    /// Whether another server that is not leaving is reachable.
+    fn has_successor(&self, context: &Context<'_>, primary: &Name) -> bool {
         let stays = |name: &Name| context.state.servers.get(name).is_some_and(|s| !s.leaving);
         self.watches.fresh(context.now).any(|(name, _)| name != primary && stays(name))
     }
 
-    /// Waits for a server that says it leads; takes the first.
+    /// Waits for a server that reports itself as the primary and establishes the
+    /// first one; begins a change if none appears in time.
     fn bootstrap(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         let now = context.now;
         let leads = |(_, status): &(&Name, &Status)| status.role == Role::Primary;
@@ -279,11 +288,11 @@
             return self.establish(context, Term(context.group.term.0 + 1), &server, out);
         }
         if self.watches.fresh(now).next().is_none() {
-            self.waiting = None;
+            self.bootstrap_since = None;
             return;
         }
-        let since = *self.waiting.get_or_insert(now);
-        if now.since(since) >= BOOTSTRAP {
+        let since = *self.bootstrap_since.get_or_insert(now);
+        if now.since(since) >= BOOTSTRAP_TIMEOUT {
             self.intend(context, Cause::New, out);
         }
     }
@@ -305,7 +314,7 @@
         }
     }
 
-    /// Notes that the state has moved on: the next proposal need not wait.
+    /// Records that a command was applied: the next proposal need not wait.
     pub fn record_applied(&mut self) {
         self.proposed = None;
     }
@@ -313,18 +322,18 @@
     fn choose(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         let (now, term) = (context.now, context.group.term);
         if !self.is_sealed(context) {
-            self.barrier = None;
+            self.sealed_since = None;
             return;
         }
-        let since = match self.barrier {
+        let since = match self.sealed_since {
             Some((known, since)) if known == term => since,
             _ => now,
         };
-        self.barrier = Some((term, since));
+        self.sealed_since = Some((term, since));
         if let Some(trace) = &mut self.trace {
             trace.fenced.get_or_insert(since);
         }
-        let Some((server, start)) = self.heir(context, since) else { return };
+        let Some((server, start)) = self.successor(context, since) else { return };
         let choose = Choose {
             group: context.name.to_string(),
             term: term.0,
@@ -334,7 +343,7 @@
         self.propose(now, command::Body::Choose(choose), out);
     }
 
-    /// Whether no keeper can pass on an answer of an earlier primary any more.
+    /// Whether no keeper can pass on answers of an earlier primary any more.
     fn is_sealed(&self, context: &Context<'_>) -> bool {
         let group = context.group;
         let is_sealed = |lease: &wire::log::Lease| {
@@ -347,9 +356,9 @@
             && (group.generation == 0 || context.liveness.removed_leases_expired(context.now))
     }
 
-    /// The server that is to lead next, if it is sure to hold all that was
-    /// acknowledged. Only positions asked for since then count.
-    fn heir(&self, context: &Context<'_>, since: Instant) -> Option<(Name, Mark)> {
+    /// The next primary and its last record, if a server certainly holds all
+    /// acknowledged records. Only positions requested after `since` count.
+    fn successor(&self, context: &Context<'_>, since: Instant) -> Option<(Name, Mark)> {
         let group = context.group;
         let old = group.primary.as_ref();
         let position = |server: &Name| {
@@ -358,8 +367,8 @@
         let known = |seat: &&Name| context.state.servers.contains_key(*seat);
         let others = || group.seats.iter().filter(known).filter(|seat| Some(*seat) != old);
         let all = others().count() >= 2 && others().all(|seat| position(seat).is_some());
-        let old_stands = old.is_some_and(|old| position(old).is_some());
-        if !all && context.now.since(since) < GRACE {
+        let old_reported = old.is_some_and(|old| position(old).is_some());
+        if !all && context.now.since(since) < POSITIONS_TIMEOUT {
             return None;
         }
         let seals = || self.seals.iter().filter(|(holder, _)| holds(group, holder));
@@ -371,7 +380,7 @@
         let best = others().filter(able).max_by_key(|seat| position(seat).map(|p| p.mark));
         let enough = |seat: &Name| {
             let mark = position(seat).map(|position| position.mark);
-            (precise || all || old_stands) && mark >= needed
+            (precise || all || old_reported) && mark >= needed
         };
         if let Some(best) = best.filter(|best| enough(best)) {
             return Some((best.clone(), position(best)?.mark));
@@ -380,7 +389,7 @@
         let back = old.filter(|old| {
             stays(old) && position(old).is_some_and(|position| position.role == Role::Primary)
         })?;
-        let late = context.now.since(since) >= UNREACHED;
+        let late = context.now.since(since) >= CONFIRMATION_TIME;
         late.then(|| Some((back.clone(), position(back)?.mark)))?
     }
 
@@ -406,15 +415,16 @@
             return self.establish(context, term, server, out);
         }
         let gone = !context.state.servers.contains_key(server)
-            || self.refused >= REFUSALS
+            || self.refused >= SUFFICIENT_REFUSALS
             || self.watches.get(server).is_some_and(|watch| watch.is_down(now));
         if gone && now.since(since) >= DESIGNATE_TIMEOUT {
             return self.intend(context, Cause::Unfinished, out);
         }
-        // calls of an earlier leader must be over before this one's first
+        // the designations of an earlier leader must have timed out before the first
+        // one of this leader
         let early =
             context.leadership.last_chosen.is_some_and(|at| now.since(at) <= LEASE_DURATION);
-        let recent = self.designated.is_some_and(|at| now.since(at) < DESIGNATE_PACE);
+        let recent = self.designated.is_some_and(|at| now.since(at) < DESIGNATE_INTERVAL);
         if early || recent || !self.watches.get_or_insert(server).accepts_order(now) {
             return;
         }
--- a/components/control/src/detector.rs
+++ b/components/control/src/detector.rs
@@ -1,8 +1,8 @@
-//! Whether a group needs another primary.
+//! Failure detector: decides whether a group needs another primary.
 //!
-//! A single vantage point is not enough, since it may be the one that is cut
-//! off. A primary that answers and whose replicas hear of it is never
-//! replaced for being slow.
+//! A single observer is not enough, since the observer itself may be
+//! partitioned. A primary that answers and whose replicas hear its heartbeats is
+//! never replaced for being slow.
 
 use std::collections::BTreeMap;
 
@@ -12,54 +12,54 @@
 use crate::state::{Group, State};
 use crate::watch::Watch;
 
-/// Time without word of the primary after which a replica has lost it.
+/// Time without a heartbeat of the primary after which a replica counts as cut off from it.
 pub const REPLICA_SILENCE_LIMIT: Duration = Duration::from_millis(400);
 
-/// Time for which a keeper's symptom stands.
-const STANDS: Duration = Duration::from_secs(2);
+/// Time for which a keeper's symptom remains valid.
+const SYMPTOM_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Refusals in a row that need no keeper to agree.
-const REFUSALS: u32 = 2;
+/// Refused connections in a row that suffice without a keeper's symptom.
+const SUFFICIENT_REFUSALS: u32 = 2;
 
-/// Why a failover began.
+/// Cause of a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Cause {
     /// The group has no primary yet.
     New,
-    /// The primary's process is gone.
+    /// The primary refuses connections: its process has ended.
     Refused,
-    /// The primary is silent.
+    /// The primary does not answer.
     Silent,
-    /// The primary is cut off from its replicas.
+    /// The primary is partitioned from its replicas.
     CutOff,
-    /// The primary came back as a replica.
+    /// The primary reports the role of a replica.
     Demoted,
     /// The primary announced that it is leaving.
     Leaving,
-    /// A failover was left unfinished, or its choice failed.
+    /// An earlier failover was not finished, or its chosen primary failed.
     Unfinished,
 }
 
-/// What keepers see of a group's primary.
+/// Newest symptom that each keeper reported of a group's primary.
 #[derive(Clone, Debug, Default)]
 pub struct Symptoms {
     keepers: BTreeMap<Name, (Symptom, Instant)>,
 }
 
 impl Symptoms {
-    /// Takes what a keeper sees.
+    /// Records a keeper's symptom.
     pub fn record(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
-        self.keepers.retain(|_, (_, at)| now.since(*at) <= STANDS);
+        self.keepers.retain(|_, (_, at)| now.since(*at) <= SYMPTOM_LIFETIME);
         self.keepers.insert(keeper, (symptom, now));
     }
 
-    /// Whether a keeper sees trouble with the primary of a term.
+    /// Whether any keeper reports the primary of a term as unhealthy.
     pub(crate) fn has_unhealthy(&self, now: Instant, primary: &Name, term: Term) -> bool {
         self.unhealthy(now, primary, term).next().is_some()
     }
 
-    /// The keepers that see trouble with the primary of a term, and what.
+    /// Keepers that report the primary of a term as unhealthy, each with its finding.
     pub(crate) fn unhealthy(
         &self,
         now: Instant,
@@ -68,51 +68,51 @@
     ) -> impl Iterator<Item = (&Name, Sight)> {
         self.keepers.iter().filter_map(move |(keeper, (symptom, at))| {
             let meant = symptom.server == primary.as_str() && symptom.term == term.0;
-            let bad = symptom.sight() != Sight::Healthy && now.since(*at) <= STANDS;
+            let bad = symptom.sight() != Sight::Healthy && now.since(*at) <= SYMPTOM_LIFETIME;
             (meant && bad).then(|| (keeper, symptom.sight()))
         })
     }
 }
 
-/// The servers of a group as the leader sees them.
+/// Probe results of the servers of a group.
 #[derive(Clone, Debug, Default)]
 pub struct Watches(BTreeMap<Name, Watch>);
 
 impl Watches {
-    /// What is seen of a server.
+    /// Probe results of a server.
     pub fn get(&self, server: &Name) -> Option<&Watch> {
         self.0.get(server)
     }
 
-    /// What is seen of a server, made known when it was not.
+    /// Probe results of a server; adds the server if it is unknown.
     pub fn get_or_insert(&mut self, server: &Name) -> &mut Watch {
         self.0.entry(server.clone()).or_default()
     }
 
-    /// Takes a time off all silence in which the leader itself stood still.
+    /// Excludes a stall of the leader itself from the silence of all servers.
     pub fn exclude_stall(&mut self, gap: Duration) {
         for watch in self.0.values_mut() {
             watch.exclude_stall(gap);
         }
     }
 
-    /// Forgets servers without a seat.
+    /// Removes servers without a seat.
     pub fn retain(&mut self, seats: &[Name]) {
         self.0.retain(|server, _| seats.contains(server));
     }
 
-    /// Fresh reports, by server.
+    /// Current status reports, by server.
     pub fn fresh(&self, now: Instant) -> impl Iterator<Item = (&Name, &Status)> {
         self.0.iter().filter_map(move |(name, watch)| Some((name, watch.fresh(now)?)))
     }
 
-    /// Highest term that any report names.
+    /// Highest term in any status report.
     pub fn highest_term(&self) -> Term {
         let terms = self.0.values().filter_map(|watch| Some(watch.status()?.term));
         terms.max().unwrap_or_default()
     }
 
-    /// The primary of the highest term that a majority has joined, if any.
+    /// The primary of the highest term, if a majority has joined that term.
     pub fn majority_primary(&self, now: Instant, majority: usize) -> Option<(Term, Name)> {
         let primaries = self.fresh(now).filter(|(_, status)| status.role == Role::Primary);
         let (name, primary) = primaries.max_by_key(|(_, status)| status.term)?;
@@ -123,7 +123,7 @@
     }
 }
 
-/// Why the primary of a settled group must be replaced, if it must.
+/// The cause for which the primary of a settled group must be replaced, if any.
 pub fn detect(
     now: Instant,
     state: &State,
@@ -133,28 +133,29 @@
 ) -> Option<Cause> {
     let primary = group.primary.as_ref()?;
     let watch = watches.get(primary)?;
-    let trouble = symptoms.has_unhealthy(now, primary, group.term);
+    let unhealthy = symptoms.has_unhealthy(now, primary, group.term);
     let refusals = watch.refusals();
-    if refusals >= REFUSALS || (refusals > 0 && trouble) {
+    if refusals >= SUFFICIENT_REFUSALS || (refusals > 0 && unhealthy) {
         return Some(Cause::Refused);
     }
-    let lost = lost(now, group, watches, primary);
-    if watch.is_silent(now) && (trouble || lost) {
+    let is_cut_off = is_cut_off(now, group, watches, primary);
+    if watch.is_silent(now) && (unhealthy || is_cut_off) {
         return Some(Cause::Silent);
     }
     let status = watch.fresh(now)?;
     if status.term == group.term && status.role != Role::Primary {
         return Some(Cause::Demoted);
     }
-    if lost {
+    if is_cut_off {
         return Some(Cause::CutOff);
     }
     let leaving = state.servers.get(primary).is_some_and(|server| server.leaving);
     (leaving && can_hand_over(now, state, group, watches)).then_some(Cause::Leaving)
 }
 
-/// Whether a majority of the primary's replicas have not heard of it.
-fn lost(now: Instant, group: &Group, watches: &Watches, primary: &Name) -> bool {
+/// Whether a majority of the replicas have received no heartbeat of the primary
+/// for [`REPLICA_SILENCE_LIMIT`].
+fn is_cut_off(now: Instant, group: &Group, watches: &Watches, primary: &Name) -> bool {
     let replicas = group.seats.len().saturating_sub(1);
     let lost = watches
         .fresh(now)
@@ -164,7 +165,8 @@
     replicas > 0 && lost > replicas / 2
 }
 
-/// Whether a majority that stays keeps up with the term.
+/// Whether a majority of the servers, without those that are leaving, has the
+/// log of the current term.
 fn can_hand_over(now: Instant, state: &State, group: &Group, watches: &Watches) -> bool {
     let stays = |name: &Name| state.servers.get(name).is_some_and(|server| !server.leaving);
     let ready = watches
--- a/components/control/src/failover.rs
+++ b/components/control/src/failover.rs
@@ -1,21 +1,24 @@
-//! The failover of one group.
+//! Failover of one fenced group.
 //!
-//! Idle: the group is watched by probes. A group without a primary gets one: a
-//! majority that already follows a primary of the highest term is adopted,
-//! else a failover gives it one. A settled group is judged by [`detector`],
-//! and servers that came back are told to follow.
+//! While no failover is in progress, the leader watches the group by probes. A
+//! group without a primary gets one: if a majority already follows the primary of
+//! the highest term, that primary is adopted, else a failover selects one. For a
+//! settled group, [`detector`] decides whether a failover is due, and servers that
+//! came back are ordered to follow the primary.
 //!
 //! A failover goes through the log, one committed step at a time:
 //!
-//! 1. `Intend(T)`, with T above every term seen.
-//! 2. Fence all seats at T; go on once a majority is fenced at exactly T.
-//! 3. `Choose` the fenced server whose log is longest by [`choice`].
-//! 4. Promote it, and have the others follow it.
+//! 1. `Intend(T)`, with T above every known term.
+//! 2. Fence all seats at T; continue once a majority is fenced at exactly T.
+//! 3. `Choose` the fenced server with the longest log, by [`choice`].
+//! 4. Promote that server, and order the others to follow it.
 //! 5. `Establish` once a majority reports T as its term and log term.
 //!
-//! Whatever fails after the first step starts again there at a higher term,
-//! and so does a leader that finds a failover unfinished. A group that elects
+//! Any failure after the first step restarts the failover there at a higher term,
+//! and so does a leader that finds an unfinished failover. A group that elects
 //! its own primary is only adopted.
+//!
+//! [`choice`]: crate::choice
 
 mod orders;
 mod takeover;
@@ -33,35 +36,36 @@
 use crate::state::Phase;
 use crate::trace::Trace;
 
-/// Time for which a fenced majority waits for the other servers.
+/// Time for which a fenced majority waits for the remaining servers to be fenced.
 const FENCE_GRACE: Duration = Duration::from_millis(50);
 
-/// Time between two orders of a kind to one server.
-const ORDER_PACE: Duration = Duration::from_millis(50);
+/// Time between two orders of one kind to the same server.
+const ORDER_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time for a promotion before another server is tried.
+/// Longest time for a promotion before another server is chosen.
 const PROMOTE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest time for a majority to follow a promoted server.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time between two orders to follow to a server that came back.
-const FOLLOW_PACE: Duration = Duration::from_millis(500);
+/// Time between two follow orders to a server that came back.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence after which a replica of the newest term is told to follow again.
-const LONELY: Duration = Duration::from_millis(800);
+/// Silence of the primary after which a replica of the newest term is ordered to
+/// follow again.
+const REFOLLOW_SILENCE: Duration = Duration::from_millis(800);
 
-/// Time between two looks at a group that is well, when nothing came of it.
-const REST: Duration = Duration::from_millis(100);
+/// Time between two steps of a healthy group while no command is applied.
+const HEALTHY_STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for a new group to show a primary by itself.
-const BOOTSTRAP: Duration = Duration::from_secs(1);
+/// Time for which a new group may elect a primary by itself before a failover begins.
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after a term was established before replicas' silence counts.
-const CALM: Duration = Duration::from_millis(500);
+/// Time after a term was established during which the replicas' silence is ignored.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Time between two planned switchovers of a group.
-const SWITCH_PAUSE: Duration = Duration::from_secs(2);
+/// Shortest time between two planned switchovers of a group.
+const SWITCHOVER_INTERVAL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug)]
 enum Stage {
@@ -74,7 +78,7 @@
         term: Term,
         fenced: BTreeMap<Name, Fenced>,
         failed: BTreeSet<Name>,
-        enough: Option<Instant>,
+        majority_at: Option<Instant>,
     },
     Choosing {
         term: Term,
@@ -93,7 +97,7 @@
     },
 }
 
-/// What a leader knows of one group's primary.
+/// Failover state machine of one fenced group.
 #[derive(Debug)]
 pub struct Failover {
     watches: Watches,
@@ -101,18 +105,19 @@
     stage: Stage,
     ordered: BTreeMap<Name, Instant>,
     establishing: Option<Instant>,
-    calm: Instant,
-    waiting: Option<Instant>,
-    switched: Option<Instant>,
-    /// Server that had better not be chosen: it failed last.
+    /// Until when the replicas' silence is ignored.
+    silence_ignored_until: Instant,
+    bootstrap_since: Option<Instant>,
+    switchover_at: Option<Instant>,
+    /// Server that failed last and is not chosen again if possible.
     avoided: Option<Name>,
     trace: Option<Trace>,
-    /// When and at which index the group was found to be well.
-    calm_at: Option<(Instant, u64)>,
+    /// When the group was last found healthy, and the state's index then.
+    healthy_at: Option<(Instant, u64)>,
 }
 
 impl Failover {
-    /// Knows nothing of its group yet.
+    /// Creates the state machine of a group about which nothing is known yet.
     pub fn new(now: Instant) -> Self {
         Self {
             watches: Watches::default(),
@@ -120,41 +125,43 @@
             stage: Stage::Idle,
             ordered: BTreeMap::new(),
             establishing: None,
-            calm: now + CALM,
-            waiting: None,
-            switched: None,
+            silence_ignored_until: now + SETTLE_TIME,
+            bootstrap_since: None,
+            switchover_at: None,
             avoided: None,
             trace: None,
-            calm_at: None,
+            healthy_at: None,
         }
     }
 
-    /// Whether the group was well a moment ago and nothing was applied since.
+    /// Whether the group was found healthy within [`HEALTHY_STEP_INTERVAL`] and no
+    /// command was applied since.
     pub fn can_skip_step(&self, now: Instant, index: u64) -> bool {
-        self.calm_at.is_some_and(|(at, known)| known == index && now.since(at) < REST)
+        self.healthy_at
+            .is_some_and(|(at, known)| known == index && now.since(at) < HEALTHY_STEP_INTERVAL)
     }
 
-    /// What the leader sees of the group's servers.
+    /// Probe results of the group's servers.
     pub fn watches(&self) -> &Watches {
         &self.watches
     }
 
-    /// The newest failover.
+    /// Timeline of the newest failover.
     pub fn trace(&self) -> Option<&Trace> {
         self.trace.as_ref()
     }
 
-    /// Takes a time off all silence in which the leader itself stood still.
+    /// Excludes a stall of the leader itself from the silence of all servers.
     pub fn exclude_stall(&mut self, gap: Duration) {
         self.watches.exclude_stall(gap);
     }
 
-    /// Takes what a keeper sees.
+    /// Records a keeper's symptom.
     pub fn record_symptom(&mut self, now: Instant, keeper: Name, symptom: Symptom) {
         self.symptoms.record(now, keeper, symptom);
     }
 
-    /// Takes the end of a probe.
+    /// Records the result of a probe.
     pub fn record_result(
         &mut self,
         now: Instant,
@@ -184,22 +191,22 @@
                     let (term, server) = (asked, server.clone());
                     self.stage = Stage::Following { term, server, since: now };
                     self.ordered.clear();
-                    self.note(|trace| trace.promoted = Some(now));
+                    self.update_trace(|trace| trace.promoted = Some(now));
                 }
             }
             _ => {}
         }
     }
 
-    /// Does what is due: reports to ask for, orders to give, steps to take.
+    /// Sends the probes and orders that are due and proposes the next command.
     pub fn step(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         self.watches.retain(&context.group.seats);
-        self.watch(context, out);
+        self.probe_seats(context, out);
         match self.stage.clone() {
             Stage::Idle => self.idle(context, out),
             Stage::Intending { term, asked } => self.intending(context, term, asked, out),
-            Stage::Fencing { term, fenced, failed, enough } => {
-                self.fencing(context, term, &fenced, &failed, enough, out);
+            Stage::Fencing { term, fenced, failed, majority_at } => {
+                self.fencing(context, term, &fenced, &failed, majority_at, out);
             }
             Stage::Choosing { term, asked, .. } => self.choosing(context, term, asked, out),
             Stage::Promoting { term, server, since } => {
@@ -211,7 +218,7 @@
         }
     }
 
-    fn note(&mut self, change: impl FnOnce(&mut Trace)) {
+    fn update_trace(&mut self, change: impl FnOnce(&mut Trace)) {
         if let Some(trace) = &mut self.trace {
             change(trace);
         }
@@ -220,25 +227,25 @@
     fn idle(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         let group = context.group;
         if group.phase == Phase::Settled {
-            self.close(context.now, group.term);
+            self.finish(context.now, group.term);
         }
         if self.adopt(context, out) || context.elects() {
             return;
         }
         match (&group.phase, &group.primary) {
             (Phase::Settled, Some(primary)) => {
-                let judged = detector::detect(
+                let cause = detector::detect(
                     context.now,
                     context.state,
                     group,
                     &self.watches,
                     &self.symptoms,
                 );
-                if let Some(cause) = judged.filter(|&cause| self.counts(context.now, cause)) {
+                if let Some(cause) = cause.filter(|&cause| self.is_actionable(context.now, cause)) {
                     self.begin(context, cause, out);
                 } else {
                     self.trace.take_if(|trace| trace.established.is_none());
-                    self.gather(context, group.term, primary, FOLLOW_PACE, out);
+                    self.order_strays(context, group.term, primary, FOLLOW_INTERVAL, out);
                 }
             }
             (Phase::Settled, None) => self.bootstrap(context, out),
@@ -248,13 +255,13 @@
         }
     }
 
-    /// Whether a failover is under way or was wanted.
+    /// Whether a failover is in progress or was found to be due.
     pub fn is_in_progress(&self) -> bool {
         self.trace.as_ref().is_some_and(|trace| trace.established.is_none())
     }
 
-    /// Notes that a term is established.
-    fn close(&mut self, now: Instant, term: Term) {
+    /// Records that a term is established.
+    fn finish(&mut self, now: Instant, term: Term) {
         self.avoided = None;
         let open = |trace: &&mut Trace| trace.established.is_none() && trace.term <= term;
         if let Some(trace) = self.trace.as_mut().filter(open) {
@@ -262,16 +269,18 @@
         }
     }
 
-    fn counts(&self, now: Instant, cause: Cause) -> bool {
+    fn is_actionable(&self, now: Instant, cause: Cause) -> bool {
         match cause {
-            Cause::CutOff => now >= self.calm,
-            Cause::Leaving => self.switched.is_none_or(|at| now.since(at) >= SWITCH_PAUSE),
+            Cause::CutOff => now >= self.silence_ignored_until,
+            Cause::Leaving => {
+                self.switchover_at.is_none_or(|at| now.since(at) >= SWITCHOVER_INTERVAL)
+            }
             _ => true,
         }
     }
 
-    /// Proposes to establish what a majority follows already, if the log does
-    /// not know it yet.
+    /// Proposes to establish the primary that a majority already follows, if the
+    /// log does not have it yet.
     fn adopt(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) -> bool {
         let group = context.group;
         let Some((term, server)) = self.watches.majority_primary(context.now, context.majority())
@@ -302,40 +311,40 @@
             return;
         }
         self.establishing = Some(context.now);
-        self.calm = context.now + CALM;
+        self.silence_ignored_until = context.now + SETTLE_TIME;
         let (group, server) = (context.name.to_string(), server.to_string());
         let establish = Establish { group, term: term.0, server };
         out.push(Effect::propose(command::Body::Establish(establish)));
     }
 
-    /// Gives a new group its primary: has the majority follow the one of the
-    /// highest term, or begins a failover where none shows in time.
+    /// Gives a new group its primary: orders the servers to follow the primary of
+    /// the highest term, or begins a failover if none appears in time.
     fn bootstrap(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         let now = context.now;
         let reports = self.watches.fresh(now).count();
         if reports < context.majority() {
-            self.waiting = None;
+            self.bootstrap_since = None;
             return;
         }
-        let since = *self.waiting.get_or_insert(now);
+        let since = *self.bootstrap_since.get_or_insert(now);
         let highest = self.watches.highest_term();
         let primary = self
             .watches
             .fresh(now)
             .find(|(_, status)| status.role == Role::Primary && status.term == highest)
             .map(|(name, _)| name.clone());
-        let overdue = now.since(since) >= BOOTSTRAP;
+        let overdue = now.since(since) >= BOOTSTRAP_TIMEOUT;
         match primary {
             Some(primary) if !overdue => {
-                self.gather(context, highest, &primary, ORDER_PACE, out);
+                self.order_strays(context, highest, &primary, ORDER_INTERVAL, out);
             }
             None if !overdue && reports < context.group.seats.len() => {}
             Some(_) | None => self.begin(context, Cause::New, out),
         }
     }
 
-    /// Starts a failover at a term above every one seen, when a majority can
-    /// be reached.
+    /// Begins a failover at a term above every known one, if a majority is
+    /// reachable.
     fn begin(&mut self, context: &Context<'_>, cause: Cause, out: &mut Vec<Effect>) {
         let now = context.now;
         let reached = self.watches.fresh(now).count();
@@ -344,7 +353,7 @@
         }
         let term = Term(self.watches.highest_term().max(context.group.term).0 + 1);
         if self.is_in_progress() {
-            self.note(|trace| trace.term = term);
+            self.update_trace(|trace| trace.term = term);
         } else {
             self.trace = Some(Trace::new(now, context.name.clone(), term, cause));
         }
@@ -352,10 +361,10 @@
             Cause::Refused | Cause::Silent | Cause::CutOff => {
                 self.avoided.clone_from(&context.group.primary);
             }
-            Cause::Leaving => self.switched = Some(now),
+            Cause::Leaving => self.switchover_at = Some(now),
             Cause::New | Cause::Demoted | Cause::Unfinished => {}
         }
-        self.waiting = None;
+        self.bootstrap_since = None;
         self.stage = Stage::Intending { term, asked: now };
         let intend = Intend { group: context.name.to_string(), term: term.0 };
         out.push(Effect::propose(command::Body::Intend(intend)));
--- a/components/control/src/failover/orders.rs
+++ b/components/control/src/failover/orders.rs
@@ -1,20 +1,20 @@
-//! Questions and orders to the servers of a group.
+//! Status probes of and orders to the servers of a group.
 
 use base::prelude::*;
 
-use super::{Failover, LONELY, Stage};
+use super::{Failover, REFOLLOW_SILENCE, Stage};
 use crate::context::Context;
 use crate::detector;
 use crate::leader::{Ask, Effect};
 use crate::state::Phase;
 
 impl Failover {
-    pub(super) fn watch(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
-        let calm = self.is_calm(context);
-        self.calm_at = calm.then_some((context.now, context.state.index));
+    pub(super) fn probe_seats(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
+        let healthy = self.is_healthy(context);
+        self.healthy_at = healthy.then_some((context.now, context.state.index));
         for seat in &context.group.seats {
             let watch = self.watches.get_or_insert(seat);
-            if watch.is_due(context.now, calm)
+            if watch.is_due(context.now, healthy)
                 && let Some(probe) = probe(context, seat, Ask::Status)
             {
                 watch.record_ask(context.now);
@@ -23,13 +23,13 @@
         }
     }
 
-    /// Whether the group is well as far as the leader and its keepers know.
-    fn is_calm(&self, context: &Context<'_>) -> bool {
+    /// Whether the group is healthy, as far as the leader and the keepers know.
+    fn is_healthy(&self, context: &Context<'_>) -> bool {
         let group = context.group;
         let Some(primary) = &group.primary else {
             return false;
         };
-        let well = |seat: &Name| {
+        let is_healthy = |seat: &Name| {
             self.watches
                 .get(seat)
                 .is_some_and(|watch| watch.is_healthy(group.term, detector::REPLICA_SILENCE_LIMIT))
@@ -38,7 +38,7 @@
             && group.phase == Phase::Settled
             && !group.leases.is_empty()
             && !self.symptoms.has_unhealthy(context.now, primary, group.term)
-            && group.seats.iter().all(well)
+            && group.seats.iter().all(is_healthy)
     }
 
     pub(super) fn order(
@@ -46,10 +46,10 @@
         context: &Context<'_>,
         server: &Name,
         ask: Ask,
-        pace: Duration,
+        interval: Duration,
         out: &mut Vec<Effect>,
     ) {
-        let recent = self.ordered.get(server).is_some_and(|&at| context.now.since(at) < pace);
+        let recent = self.ordered.get(server).is_some_and(|&at| context.now.since(at) < interval);
         let watch = self.watches.get_or_insert(server);
         if recent || !watch.accepts_order(context.now) {
             return;
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Tells servers that do not follow the primary to do so.
-    pub(super) fn gather(
+    /// Orders the servers that do not follow the primary to do so.
+    pub(super) fn order_strays(
         &mut self,
         context: &Context<'_>,
         term: Term,
         primary: &Name,
-        pace: Duration,
+        interval: Duration,
         out: &mut Vec<Effect>,
     ) {
         let Some(server) = context.state.servers.get(primary) else {
@@ -76,18 +76,25 @@
         if self.watches.get(primary).is_none_or(|watch| watch.fresh(context.now).is_none()) {
             return;
         }
-        let strays = |status: &Status| {
+        let is_stray = |status: &Status| {
             status.term < term
-                || (status.term == term && (status.log_term < term || status.silence > LONELY))
+                || (status.term == term
+                    && (status.log_term < term || status.silence > REFOLLOW_SILENCE))
         };
-        let astray: Vec<Name> = self
+        let strays: Vec<Name> = self
             .watches
             .fresh(context.now)
-            .filter(|(name, status)| *name != primary && strays(status))
+            .filter(|(name, status)| *name != primary && is_stray(status))
             .map(|(name, _)| name.clone())
             .collect();
-        for stray in astray {
-            self.order(context, &stray, Ask::Follow { term, primary: server.address }, pace, out);
+        for stray in strays {
+            self.order(
+                context,
+                &stray,
+                Ask::Follow { term, primary: server.address },
+                interval,
+                out,
+            );
         }
     }
 }
--- a/components/control/src/failover/takeover.rs
+++ b/components/control/src/failover/takeover.rs
@@ -1,11 +1,13 @@
-//! The steps of a failover once it is intended.
+//! Steps of a failover after its term was proposed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use base::prelude::*;
 use wire::log::{Choose, command};
 
-use super::{CALM, FENCE_GRACE, FOLLOW_TIMEOUT, Failover, ORDER_PACE, PROMOTE_TIMEOUT, Stage};
+use super::{
+    FENCE_GRACE, FOLLOW_TIMEOUT, Failover, ORDER_INTERVAL, PROMOTE_TIMEOUT, SETTLE_TIME, Stage,
+};
 use crate::choice::{Fenced, choose};
 use crate::context::Context;
 use crate::detector::Cause;
@@ -25,7 +27,7 @@
         if group.term == term && group.phase == Phase::Intended {
             self.ordered.clear();
             let (fenced, failed) = (BTreeMap::new(), BTreeSet::new());
-            self.stage = Stage::Fencing { term, fenced, failed, enough: None };
+            self.stage = Stage::Fencing { term, fenced, failed, majority_at: None };
             return self.step(context, out);
         }
         if group.term >= term || context.now.since(asked) >= PROPOSAL_TIMEOUT {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Whether the log has moved on from a step of this failover.
+    /// Whether the log contains a later term than this failover's; ends the failover if so.
     pub(super) fn is_over(&mut self, context: &Context<'_>, term: Term) -> bool {
         let over = context.group.term != term;
         if over {
@@ -48,7 +50,7 @@
         term: Term,
         fenced: &BTreeMap<Name, Fenced>,
         failed: &BTreeSet<Name>,
-        enough: Option<Instant>,
+        majority_at: Option<Instant>,
         out: &mut Vec<Effect>,
     ) {
         if self.is_over(context, term) {
@@ -58,20 +60,20 @@
             return self.begin(context, Cause::Unfinished, out);
         }
         for seat in context.group.seats.iter().filter(|seat| !fenced.contains_key(*seat)) {
-            self.order(context, seat, Ask::Fence(term), ORDER_PACE, out);
+            self.order(context, seat, Ask::Fence(term), ORDER_INTERVAL, out);
         }
         let needed = if context.flaw == Flaw::FenceMinority { 1 } else { context.majority() };
         if fenced.len() < needed {
             return;
         }
-        let enough = enough.unwrap_or(context.now);
-        if let Stage::Fencing { enough: known, .. } = &mut self.stage {
-            *known = Some(enough);
+        let majority_at = majority_at.unwrap_or(context.now);
+        if let Stage::Fencing { majority_at: known, .. } = &mut self.stage {
+            *known = Some(majority_at);
         }
         let answered = |seat: &Name| fenced.contains_key(seat) || failed.contains(seat);
         let is_down = |seat: &Name| self.watches.get(seat).is_some_and(|w| w.is_down(context.now));
         let all = context.group.seats.iter().all(|seat| answered(seat) || is_down(seat));
-        if all || context.now.since(enough) >= FENCE_GRACE {
+        if all || context.now.since(majority_at) >= FENCE_GRACE {
             self.choose(context, term, fenced, needed, out);
         }
     }
@@ -90,7 +92,7 @@
             return;
         };
         let now = context.now;
-        self.note(|trace| trace.fenced = Some(now));
+        self.update_trace(|trace| trace.fenced = Some(now));
         self.stage = Stage::Choosing { term, choice, asked: now };
         self.propose_choice(context, out);
     }
@@ -153,7 +155,7 @@
             self.avoided = Some(server.clone());
             return self.begin(context, Cause::Unfinished, out);
         }
-        self.order(context, server, Ask::Promote(term), ORDER_PACE, out);
+        self.order(context, server, Ask::Promote(term), ORDER_INTERVAL, out);
     }
 
     pub(super) fn following(
@@ -168,10 +170,10 @@
             return;
         }
         if context.group.phase == Phase::Settled {
-            self.close(context.now, term);
+            self.finish(context.now, term);
             self.stage = Stage::Idle;
             self.establishing = None;
-            self.calm = context.now + CALM;
+            self.silence_ignored_until = context.now + SETTLE_TIME;
             return;
         }
         let overdue = context.now.since(since) >= FOLLOW_TIMEOUT;
@@ -190,7 +192,7 @@
             let follows =
                 self.watches.get(seat).and_then(|w| w.fresh(context.now)).is_some_and(joined);
             if !follows {
-                self.order(context, seat, Ask::Follow { term, primary }, ORDER_PACE, out);
+                self.order(context, seat, Ask::Follow { term, primary }, ORDER_INTERVAL, out);
             }
         }
         let leading = self.watches.majority_primary(context.now, context.majority());
--- a/components/control/src/flaw.rs
+++ b/components/control/src/flaw.rs
@@ -1,16 +1,16 @@
 //! Deliberate flaws that the fuzz tests must find.
 
-/// A rule that a leader breaks; for tests only.
+/// A safety rule that a leader breaks; for tests only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display)]
 pub enum Flaw {
-    /// All rules are kept.
+    /// The leader keeps all rules.
     #[default]
     None,
-    /// Grants a returning share before its holder gave it up.
+    /// Grants a returning share before its holder has released it.
     GrantEarly,
-    /// Forgets, as a new leader, who was given up and may not know it.
+    /// Ignores, as a new leader, removed entries that may not know of their removal yet.
     ForgetDeparted,
-    /// Chooses a primary by position alone.
+    /// Chooses a primary by log position, without the log term.
     IgnoreLogTerm,
     /// Chooses a primary once a single server is fenced.
     FenceMinority,
--- a/components/control/src/image.rs
+++ b/components/control/src/image.rs
@@ -1,5 +1,5 @@
-//! The whole state as bytes, for a member's snapshot and for an entry that is
-//! too far behind.
+//! Encodes the whole state, for a member's snapshot and for an entry that has
+//! fallen too far behind the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,7 +14,7 @@
 use crate::changes::{Answer, Changes};
 use crate::state::{Entry, Group, Phase, Server, State};
 
-/// Bytes that are no image.
+/// Error for bytes that are no valid image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -32,7 +32,7 @@
     index: u64,
     #[prost(uint64, tag = "2")]
     version: u64,
-    /// The declarations, packed.
+    /// The declarations, compressed.
     #[prost(bytes = "bytes", tag = "12")]
     declarations: Bytes,
     #[prost(message, repeated, tag = "4")]
@@ -121,12 +121,12 @@
 }
 
 impl State {
-    /// The whole state as bytes; equal states give equal bytes.
+    /// Encodes the whole state; equal states give equal bytes.
     pub fn encode(&self) -> Vec<u8> {
         Image { document: self.document.clone(), ..self.image() }.encode_to_vec()
     }
 
-    /// What entries need of the state as bytes.
+    /// Encodes the state for entries, without the document of the declarations.
     pub fn encode_for_entries(&self) -> Vec<u8> {
         self.image().encode_to_vec()
     }
@@ -147,10 +147,10 @@
         }
     }
 
-    /// Reads such bytes.
+    /// Decodes an image.
     ///
     /// # Errors
-    /// [`Malformed`] when they are no image.
+    /// [`Malformed`] if the bytes are no valid image.
     pub fn decode(bytes: &[u8]) -> Result<Self, Report<Malformed>> {
         let image = Image::decode(bytes).change_context(Malformed)?;
         let declarations = pack::unpack_text(&image.declarations).change_context(Malformed)?;
--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -1,9 +1,9 @@
-//! What the leading member decides.
+//! Decisions of the leading member.
 //!
-//! A leader is volatile: it is made anew at each election, and what it needs
-//! to know beyond the state it learns again from beats, announcements and
-//! probes. Its host feeds it events, proposes the commands that it asks for,
-//! and carries out its probes.
+//! A leader is volatile: each election creates a new one, and it learns all that
+//! is not in the state again from heartbeats, announcements and probes. Its host
+//! passes it events, proposes the commands that it requests, and executes its
+//! probes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,133 +22,136 @@
 use crate::state::{Entry, State};
 use crate::trace::Trace;
 
-/// Time after which a proposal that changed nothing is made again.
+/// Time after which a proposal that has not changed the state is repeated.
 pub const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Failovers that are remembered.
-const TRACES: usize = 32;
+/// Number of finished failovers whose timelines are kept.
+const MAX_TRACES: usize = 32;
 
-/// Time between two [`Event::Tick`].
+/// Time between two [`Event::Tick`] events.
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// Time that a host lets a server wait before it answers [`Ask::Status`] with
-/// nothing new.
+/// Longest time for which a server may hold back its answer to [`Ask::Status`]
+/// while its status is unchanged (long polling).
 pub const STATUS_WAIT: Duration = Duration::from_millis(100);
 
-/// A question to a backend server.
+/// A request to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// Its report, once it changed or after [`STATUS_WAIT`].
+    /// Report the status, once it has changed or after [`STATUS_WAIT`].
     Status,
-    /// Join a term without a primary.
+    /// Fence the server: join a term without a primary.
     Fence(Term),
-    /// Become the primary of the term that it was fenced at.
+    /// Promote the server to primary of the term at which it was fenced.
     Promote(Term),
-    /// Lead the next term, by the word of whoever promotes servers that can't be
-    /// fenced. The host asks only while a quorum confirms that it leads.
+    /// Make a server of an unfenced group the primary, through the interface that
+    /// promotes such servers. The host sends this request only while a quorum
+    /// confirms that its member leads.
     Designate {
-        /// Rises with each leader.
+        /// Fencing token; rises with each leader.
         token: u64,
     },
-    /// Copy from the primary of a term.
+    /// Replicate from the primary of a term.
     Follow {
-        /// The term.
+        /// Term to join.
         term: Term,
-        /// Where its primary listens.
+        /// Address of the primary of the term.
         primary: SocketAddr,
     },
 }
 
-/// Why a backend server did not answer a question.
+/// Reason for which a probe of a backend server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ProbeError {
-    /// Nothing listens at its address.
+    /// The connection was refused: no process listens at the server's address.
     Refused,
-    /// No answer in time, or the connection broke.
+    /// The answer timed out, or the connection was lost.
     Silent,
-    /// It answered with an error, or with what can't be read.
+    /// The server answered with an error or with a malformed message.
     Rejected,
 }
 
 impl std::error::Error for ProbeError {}
 
-/// What a leader is told.
+/// Input of the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passed; due each [`TICK`].
+    /// Time has passed; due every [`TICK`].
     Tick,
     /// The state has applied a committed command.
     Applied {
         /// Index of the command.
         index: u64,
     },
-    /// A backend server announced or renewed itself.
+    /// A backend server announced itself, for the first time or as a renewal.
     Announced(Announce),
-    /// An entry renewed its lease. Due before the beat is confirmed.
+    /// An entry sent a heartbeat to renew its leases. The event must be passed
+    /// before the heartbeat is confirmed.
     Beat {
-        /// The entry.
+        /// Name of the entry.
         entry: Name,
-        /// Its incarnation.
+        /// Incarnation of the entry.
         incarnation: u64,
-        /// Last index that it had applied when it sent the beat.
+        /// Last index that the entry had applied when it sent the heartbeat.
         applied: u64,
-        /// Groups whose returning lease it has given up.
+        /// Groups whose returning lease the entry has released.
         returned: Vec<Name>,
     },
-    /// An entry asked to follow the log.
+    /// An entry requested to follow the log.
     Joined(Join),
-    /// An entry stopped and holds no connection any more.
+    /// An entry stopped and holds no connections any more.
     Left {
-        /// The entry.
+        /// Name of the entry.
         entry: Name,
-        /// Its incarnation.
+        /// Incarnation of the entry.
         incarnation: u64,
     },
-    /// What a keeper sees of a group's primary.
+    /// A keeper reported the health of a group's primary.
     Symptom {
-        /// The entry that keeps.
+        /// Entry of the keeper.
         entry: Name,
-        /// What it sees.
+        /// Health of the primary as the keeper sees it.
         symptom: Symptom,
     },
-    /// A keeper has ended its work for an earlier primary.
+    /// A keeper has ended its work for an earlier primary and sealed it.
     Sealed {
-        /// The entry that keeps.
+        /// Entry of the keeper.
         entry: Name,
-        /// Its incarnation.
+        /// Incarnation of the entry.
         incarnation: u64,
-        /// What it told.
+        /// Highest mark that the keeper has acknowledged, with the term.
         seal: Seal,
     },
-    /// The end of a probe; each [`Effect::Probe`] has one.
+    /// A probe has ended; each [`Effect::Probe`] leads to exactly one such event.
     Probed {
-        /// The group.
+        /// Group of the server.
         group: Name,
-        /// The server.
+        /// The server that was probed.
         server: Name,
-        /// What was asked.
+        /// The request that was sent.
         ask: Ask,
-        /// The server's report after it.
+        /// The server's status after the request, or the failure.
         result: Result<Status, ProbeError>,
     },
 }
 
-/// What a leader wants done.
+/// Output of the leader, for its host to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Append a command to the log.
     Propose(Command),
-    /// Ask a backend server; the host reports the end of it. An order must not
-    /// wait behind a status question to the same server.
+    /// Send a request to a backend server; the host reports the result with
+    /// [`Event::Probed`]. An order must not wait behind a status request to the
+    /// same server.
     Probe {
-        /// The group.
+        /// Group of the server.
         group: Name,
-        /// The server.
+        /// The server to probe.
         server: Name,
-        /// Where it listens.
+        /// Address of the server.
         address: SocketAddr,
-        /// What to ask.
+        /// The request to send.
         ask: Ask,
     },
 }
@@ -159,19 +162,19 @@
     }
 }
 
-/// Time between two ticks from which on the leader itself stood still, and
-/// nobody else's silence may be concluded from it.
-const STALL: Duration = Duration::from_millis(100);
+/// Time between two ticks above which the leader itself has stalled, so that the
+/// silence of other hosts in that time proves nothing.
+const STALL_LIMIT: Duration = Duration::from_millis(100);
 
-/// Time between two looks at all servers' announcements when nothing was applied.
-const PACE: Duration = Duration::from_millis(100);
+/// Time between two checks of all servers' announcements while no command is applied.
+const RENEWAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Decides for the control log while its member leads.
+/// Proposes commands and probes servers while its member leads the quorum.
 #[derive(Debug)]
 pub struct Leader {
-    began: Instant,
+    started: Instant,
     ticked: Instant,
-    looked: Option<(u64, Instant)>,
+    renewals_checked: Option<(u64, Instant)>,
     liveness: Liveness,
     renewals: Renewals,
     planner: Planner,
@@ -183,23 +186,23 @@
 }
 
 impl Leader {
-    /// Makes the leader of a new term of the quorum.
+    /// Creates the leader of a new term of the quorum.
     pub fn new(now: Instant) -> Self {
         Self::with_flaw(now, Flaw::None)
     }
 
-    /// Makes the leader of a new term that knows of the time before.
+    /// Creates the leader of a new term with facts from before its election.
     pub fn with_leadership(now: Instant, leadership: Leadership) -> Self {
         Self { leadership, ..Self::new(now) }
     }
 
-    /// Makes a leader that breaks a rule, for a test that must find it.
+    /// Creates a leader that breaks a rule, for a test that must detect it.
     #[doc(hidden)]
     pub fn with_flaw(now: Instant, flaw: Flaw) -> Self {
         Self {
-            began: now,
+            started: now,
             ticked: now,
-            looked: None,
+            renewals_checked: None,
             liveness: Liveness::new(now, flaw),
             renewals: Renewals::new(),
             planner: Planner::new(flaw),
@@ -211,31 +214,32 @@
         }
     }
 
-    /// When it began to lead.
+    /// When the member started to lead.
     pub fn started(&self) -> Instant {
-        self.began
+        self.started
     }
 
-    /// Last index that an entry is known to have applied.
+    /// Last index that an incarnation of an entry is known to have applied.
     pub fn applied(&self, entry: &Name, incarnation: u64) -> u64 {
         self.liveness.applied(entry, incarnation)
     }
 
-    /// Newest report of a server, if it came within the pace of a well group.
+    /// Newest status report of a server, if it is no older than a healthy group's may be.
     pub fn status(&self, now: Instant, group: &str, server: &Name) -> Option<&Status> {
         let failover = self.failovers.get(group).map(Failover::watches);
         let designation = self.designations.get(group).map(Designation::watches);
         failover.or(designation)?.get(server)?.recent(now)
     }
 
-    /// Failovers that it led, oldest first, with those that are under way.
+    /// Timelines of the newest failovers of this leader, finished ones oldest first,
+    /// then those in progress.
     pub fn traces(&self) -> impl Iterator<Item = &Trace> {
         let failovers = self.failovers.values().filter_map(Failover::trace);
-        let open = failovers.chain(self.designations.values().filter_map(Designation::trace));
-        self.traces.iter().chain(open.filter(|trace| trace.established.is_none()))
+        let all = failovers.chain(self.designations.values().filter_map(Designation::trace));
+        self.traces.iter().chain(all.filter(|trace| trace.established.is_none()))
     }
 
-    /// Takes an event. `state` is what the member has applied.
+    /// Handles an event. `state` is the state that the member has applied.
     pub fn on(&mut self, now: Instant, state: &State, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Tick => self.tick(now, state, out),
@@ -258,7 +262,7 @@
                     self.planner.tick(now, state, &self.liveness, out);
                 }
             }
-            Event::Joined(join) => joined(state, join, out),
+            Event::Joined(join) => propose_join(state, join, out),
             Event::Left { entry, incarnation } => {
                 self.liveness.mark_left(now, entry, incarnation);
                 self.liveness.tick(now, state, out);
@@ -289,13 +293,15 @@
     fn tick(&mut self, now: Instant, state: &State, out: &mut Vec<Effect>) {
         let gap = now.since(self.ticked);
         self.ticked = now;
-        if gap > STALL {
+        if gap > STALL_LIMIT {
             self.failovers.values_mut().for_each(|failover| failover.exclude_stall(gap));
             self.designations.values_mut().for_each(|designation| designation.exclude_stall(gap));
         }
-        let looked = |(index, at): (u64, Instant)| index == state.index && now.since(at) < PACE;
-        if !self.looked.is_some_and(looked) {
-            self.looked = Some((state.index, now));
+        let renewals_checked = |(index, at): (u64, Instant)| {
+            index == state.index && now.since(at) < RENEWAL_CHECK_INTERVAL
+        };
+        if !self.renewals_checked.is_some_and(renewals_checked) {
+            self.renewals_checked = Some((state.index, now));
             self.renewals.tick(now, state, out);
         }
         self.liveness.tick(now, state, out);
@@ -305,8 +311,8 @@
         self.failovers.retain(|group, _| fenced(group));
         self.designations.retain(|group, _| state.acknowledges(group.as_str()));
         for group in state.groups.keys() {
-            let rests = |failover: &Failover| failover.can_skip_step(now, state.index);
-            if !self.failovers.get(group).is_some_and(rests) {
+            let can_skip = |failover: &Failover| failover.can_skip_step(now, state.index);
+            if !self.failovers.get(group).is_some_and(can_skip) {
                 self.step(now, state, group, out);
             }
         }
@@ -326,27 +332,27 @@
         };
         let (liveness, leadership, flaw) = (&self.liveness, self.leadership, self.flaw);
         let context = Context { now, state, name, group, liveness, leadership, flaw };
-        let over = if state.acknowledges(name.as_str()) {
+        let trace = if state.acknowledges(name.as_str()) {
             let designation = self.designations.entry(name.clone()).or_default();
-            let open = designation.is_in_progress();
+            let was_in_progress = designation.is_in_progress();
             designation.step(&context, out);
-            designation.trace().filter(|_| open)
+            designation.trace().filter(|_| was_in_progress)
         } else {
             let fresh = || Failover::new(now);
             let failover = self.failovers.entry(name.clone()).or_insert_with(fresh);
-            let open = failover.is_in_progress();
+            let was_in_progress = failover.is_in_progress();
             failover.step(&context, out);
-            failover.trace().filter(|_| open)
+            failover.trace().filter(|_| was_in_progress)
         };
-        let over = over.filter(|trace| trace.established.is_some()).cloned();
-        self.traces.extend(over);
-        if self.traces.len() > TRACES {
+        let finished = trace.filter(|trace| trace.established.is_some()).cloned();
+        self.traces.extend(finished);
+        if self.traces.len() > MAX_TRACES {
             self.traces.pop_front();
         }
     }
 }
 
-fn joined(state: &State, join: Join, out: &mut Vec<Effect>) {
+fn propose_join(state: &State, join: Join, out: &mut Vec<Effect>) {
     let Some((name, entry)) = Entry::from_join(&join) else {
         return;
     };
--- a/components/control/src/lease.rs
+++ b/components/control/src/lease.rs
@@ -1,15 +1,15 @@
-//! Times of the leases between entries and control.
+//! Durations of the leases between entries and control.
 
 use std::time::Duration;
 
-/// Time between two beats of an entry.
+/// Time between two heartbeats of an entry.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time that an entry may work after it sent a beat that was confirmed.
+/// Time for which an entry may use its leases after it sent a heartbeat that was confirmed.
 pub const LEASE_DURATION: Duration = Duration::from_millis(1_600);
 
-/// Time beyond [`LEASE_DURATION`] before an entry that fell silent is given up.
+/// Time beyond [`LEASE_DURATION`] before a silent entry is removed.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Connections of a server that are never granted: probes need them.
+/// Connections of each backend server that are never granted, because probes need them.
 pub const RESERVED_CONNECTIONS: u32 = 4;
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -1,13 +1,14 @@
-//! The state that the control log builds, and the leader's decisions on it.
+//! The replicated control state and the decisions that the control leader takes on it.
 //!
-//! - [`state`]: what is decided; members and entries hold the same.
-//! - [`mod@apply`]: how one command changes it.
-//! - [`image`]: the whole of it as bytes.
-//! - [`leader`]: what the leading member does about it. [`liveness`] and
-//!   [`renewals`] follow which entries and servers live, [`planner`] hands
-//!   out leases, and [`failover`] gives groups their primaries; [`designation`]
-//!   does so where servers acknowledge by themselves.
-//! - [`overview`]: what operators are told.
+//! - [`state`]: the replicated state; members and entries hold the same copy.
+//! - [`mod@apply`]: applies one log command to the state.
+//! - [`image`]: the state as bytes.
+//! - [`leader`]: the decisions of the leading member. [`liveness`] and
+//!   [`renewals`] track which entries and backend servers are alive, [`planner`]
+//!   assigns leases, [`failover`] selects the primaries of fenced groups, and
+//!   [`designation`] those of unfenced groups, whose servers acknowledge commits
+//!   by themselves.
+//! - [`overview`]: the status report for operators.
 
 pub mod apply;
 pub mod changes;
--- a/components/control/src/liveness.rs
+++ b/components/control/src/liveness.rs
@@ -1,14 +1,14 @@
-//! Which entries live, by their beats.
+//! Tracks which entries are alive, by their heartbeats.
 //!
-//! A lease of an entry may be in force until [`LEASE_DURATION`] after the beat that
-//! renewed it was sent, so an incarnation is given up only once [`LEASE_DURATION`] and
-//! [`LEASE_MARGIN`] passed since it was heard of. Of beats that came before it began, a
-//! leader knows nothing, and counts from its own beginning. Which incarnations
-//! were given up and may not know it yet, the state tells.
+//! A lease of an entry may be in force until [`LEASE_DURATION`] after the entry
+//! sent the heartbeat that renewed it, so an incarnation is removed only once
+//! [`LEASE_DURATION`] plus [`LEASE_MARGIN`] passed since its last heartbeat. A new
+//! leader knows nothing of earlier heartbeats and counts from its own start. The
+//! state lists the incarnations that were removed and may not know it yet.
 //!
-//! A beat may still be confirmed while the command that gives its entry up is
-//! on its way: what that entry held is not free before this beat's lease is
-//! over too, unless the entry is known to have applied the command.
+//! A heartbeat may still be confirmed while the command that removes its entry is
+//! in flight. The shares of that entry are not free before the lease of this
+//! heartbeat is over too, unless the entry is known to have applied the command.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,178 +20,191 @@
 use crate::lease::{LEASE_DURATION, LEASE_MARGIN};
 use crate::state::{Group, State};
 
-/// One start of an entry.
-type Start = (Name, u64);
+/// An entry and its incarnation.
+type Incarnation = (Name, u64);
 
 #[derive(Clone, Copy, Debug)]
-struct Life {
+struct Record {
+    /// When the last heartbeat arrived that may still renew a lease.
     heard: Instant,
     applied: u64,
     left: bool,
-    /// Whether the state has known it.
+    /// Whether the state has ever contained this incarnation.
     known: bool,
-    /// Index by which it was found to be given up.
-    parted: Option<u64>,
-    asked: Option<Instant>,
+    /// Index of the state at which the incarnation was found to be removed.
+    removed: Option<u64>,
+    proposed: Option<Instant>,
 }
 
-/// Entries as the leader hears of them.
+/// Incarnations of entries from which the leader received heartbeats, or that
+/// the state contains.
 #[derive(Debug)]
 pub struct Liveness {
-    began: Instant,
-    starts: BTreeMap<Start, Life>,
-    /// The starts that the state knows, and the index that it stood at.
-    known: BTreeSet<Start>,
-    looked: Option<u64>,
+    started: Instant,
+    incarnations: BTreeMap<Incarnation, Record>,
+    /// Incarnations in the state, as of the index in `scanned`.
+    known: BTreeSet<Incarnation>,
+    scanned: Option<u64>,
     flaw: Flaw,
 }
 
 impl Liveness {
-    /// Knows of no entry yet.
+    /// Creates a tracker that knows no entry yet.
     pub fn new(now: Instant, flaw: Flaw) -> Self {
-        let (starts, known) = (BTreeMap::new(), BTreeSet::new());
-        Self { began: now, starts, known, looked: None, flaw }
+        let (incarnations, known) = (BTreeMap::new(), BTreeSet::new());
+        Self { started: now, incarnations, known, scanned: None, flaw }
     }
 
-    fn life(&mut self, now: Instant, entry: Name, incarnation: u64) -> &mut Life {
-        let fresh =
-            Life { heard: now, applied: 0, left: false, known: false, parted: None, asked: None };
-        self.starts.entry((entry, incarnation)).or_insert(fresh)
+    fn record(&mut self, now: Instant, entry: Name, incarnation: u64) -> &mut Record {
+        let fresh = Record {
+            heard: now,
+            applied: 0,
+            left: false,
+            known: false,
+            removed: None,
+            proposed: None,
+        };
+        self.incarnations.entry((entry, incarnation)).or_insert(fresh)
     }
 
-    /// Takes a beat.
+    /// Records a heartbeat.
     pub fn beat(&mut self, now: Instant, entry: Name, incarnation: u64, applied: u64) {
-        let life = self.life(now, entry, incarnation);
-        // once it is given up, a beat is confirmed beyond that only
-        if life.parted.is_none() {
-            life.heard = now;
+        let record = self.record(now, entry, incarnation);
+        // a heartbeat after the removal renews a lease only once the entry has
+        // applied the removal
+        if record.removed.is_none() {
+            record.heard = now;
         }
-        life.applied = life.applied.max(applied);
+        record.applied = record.applied.max(applied);
     }
 
-    /// Notes that an incarnation holds nothing any more.
+    /// Records that an incarnation has stopped and holds no lease any more.
     pub fn mark_left(&mut self, now: Instant, entry: Name, incarnation: u64) {
-        self.life(now, entry, incarnation).left = true;
+        self.record(now, entry, incarnation).left = true;
     }
 
-    /// Whether an incarnation said that it left.
+    /// Whether an incarnation has stopped and holds no lease any more.
     pub fn has_left(&self, entry: &Name, incarnation: u64) -> bool {
-        self.starts.get(&(entry.clone(), incarnation)).is_some_and(|life| life.left)
+        self.incarnations.get(&(entry.clone(), incarnation)).is_some_and(|record| record.left)
     }
 
     /// Last index that an incarnation is known to have applied.
     pub fn applied(&self, entry: &Name, incarnation: u64) -> u64 {
-        self.starts.get(&(entry.clone(), incarnation)).map_or(0, |life| life.applied)
+        self.incarnations.get(&(entry.clone(), incarnation)).map_or(0, |record| record.applied)
     }
 
-    /// Whether no lease of an entry that was given up, by this leader or an
-    /// earlier one, still runs. Due after [`Liveness::tick`] at the state's index.
+    /// Whether the leases of all entries that this leader or an earlier one
+    /// removed are over. Valid only after [`Liveness::tick`] at the state's index.
     pub fn removed_leases_expired(&self, now: Instant) -> bool {
-        self.looked.is_some() && !self.lingers(now)
+        self.scanned.is_some() && !self.has_running_removed(now)
     }
 
-    /// Whether no entry can believe that it still holds what is free of a
-    /// group: each holder knows what was taken from it, and the leases of
-    /// entries that were given up `are_over`.
+    /// Whether the free shares of a group can be granted, since no entry can still
+    /// believe that it holds them: each holder has applied the last reduction of
+    /// its lease, and the leases of removed entries `are_over`.
     pub fn can_grant(&self, group: &Group, are_over: bool) -> bool {
-        group.generation == 0 || (are_over && self.know(group))
+        group.generation == 0 || (are_over && self.holders_are_aware(group))
     }
 
-    fn lingers(&self, now: Instant) -> bool {
-        self.starts.values().any(|life| life.is_unaware() && !life.is_late(now))
+    fn has_running_removed(&self, now: Instant) -> bool {
+        self.incarnations.values().any(|record| record.is_unaware() && !record.is_expired(now))
     }
 
-    fn know(&self, group: &Group) -> bool {
+    fn holders_are_aware(&self, group: &Group) -> bool {
         group.leases.iter().all(|lease| {
             Name::new(&lease.entry)
                 .is_ok_and(|entry| self.applied(&entry, lease.incarnation) >= group.reduced_index)
         })
     }
 
-    /// Gives up the incarnations that left or were silent for too long.
+    /// Proposes to remove the incarnations that have stopped or were silent for
+    /// longer than a lease can last.
     pub fn tick(&mut self, now: Instant, state: &State, out: &mut Vec<Effect>) {
-        if self.looked != Some(state.index) {
-            self.looked = Some(state.index);
-            self.known = starts(state);
-            self.recall(state);
+        if self.scanned != Some(state.index) {
+            self.scanned = Some(state.index);
+            self.known = incarnations(state);
+            self.add_departed(state);
         }
-        // taken out for the loop, since a life is found by all of the lives
+        // moved out of `self`, since the loop borrows `self` to look up each record
         let known = std::mem::take(&mut self.known);
         for (entry, incarnation) in &known {
             let ended = state.has_ended(entry.as_str(), *incarnation);
-            let life = self.life(now, entry.clone(), *incarnation);
-            life.left |= ended;
-            life.known = true;
-            if life.parted.take().is_some() {
-                life.heard = now;
+            let record = self.record(now, entry.clone(), *incarnation);
+            record.left |= ended;
+            record.known = true;
+            if record.removed.take().is_some() {
+                record.heard = now;
             }
-            let silent = now.since(life.heard) > LEASE_DURATION + LEASE_MARGIN;
-            let waits = life.asked.is_some_and(|asked| now.since(asked) < PROPOSAL_TIMEOUT);
-            if (silent || life.left) && !waits {
-                life.asked = Some(now);
-                let over = life.left;
+            let silent = now.since(record.heard) > LEASE_DURATION + LEASE_MARGIN;
+            let waits =
+                record.proposed.is_some_and(|proposed| now.since(proposed) < PROPOSAL_TIMEOUT);
+            if (silent || record.left) && !waits {
+                record.proposed = Some(now);
+                let over = record.left;
                 let part = Part { entry: entry.to_string(), incarnation: *incarnation, over };
                 out.push(Effect::propose(command::Body::Part(part)));
             }
         }
-        self.forget(now, state, out);
-        let gone = self.starts.iter_mut().filter(|(start, _)| !known.contains(start));
-        for ((entry, incarnation), life) in gone.filter(|(_, life)| life.known) {
-            life.left |= state.has_ended(entry.as_str(), *incarnation);
-            life.parted.get_or_insert(state.index);
+        self.drop_departed(now, state, out);
+        let gone = self.incarnations.iter_mut().filter(|(key, _)| !known.contains(key));
+        for ((entry, incarnation), record) in gone.filter(|(_, record)| record.known) {
+            record.left |= state.has_ended(entry.as_str(), *incarnation);
+            record.removed.get_or_insert(state.index);
         }
-        self.starts.retain(|start, life| {
-            let departed = state.departed.contains_key(start);
-            known.contains(start) || departed || !life.is_late(now)
+        self.incarnations.retain(|key, record| {
+            let departed = state.departed.contains_key(key);
+            known.contains(key) || departed || !record.is_expired(now)
         });
         self.known = known;
     }
 
-    /// Takes over the starts that an earlier leader gave up; when it heard of
-    /// them last, this one can't know.
-    fn recall(&mut self, state: &State) {
+    /// Adds the incarnations that an earlier leader removed. When their last
+    /// heartbeat arrived is unknown, so the start of this leader is assumed.
+    fn add_departed(&mut self, state: &State) {
         if self.flaw == Flaw::ForgetDeparted {
             return;
         }
-        let began = self.began;
-        let departed = state.departed.iter().filter(|(start, _)| !self.known.contains(*start));
-        let departed: Vec<_> = departed.map(|(start, index)| (start.clone(), *index)).collect();
+        let started = self.started;
+        let departed = state.departed.iter().filter(|(key, _)| !self.known.contains(*key));
+        let departed: Vec<_> = departed.map(|(key, index)| (key.clone(), *index)).collect();
         for ((entry, incarnation), index) in &departed {
-            let life = self.life(began, entry.clone(), *incarnation);
-            life.known = true;
-            life.parted.get_or_insert(*index);
+            let record = self.record(started, entry.clone(), *incarnation);
+            record.known = true;
+            record.removed.get_or_insert(*index);
         }
     }
 
-    /// Lets the state forget the starts whose leases are over for certain.
-    fn forget(&mut self, now: Instant, state: &State, out: &mut Vec<Effect>) {
+    /// Proposes to drop the removed incarnations whose leases are certainly over
+    /// from the state.
+    fn drop_departed(&mut self, now: Instant, state: &State, out: &mut Vec<Effect>) {
         for (entry, incarnation) in state.departed.keys() {
-            let life = self.life(now, entry.clone(), *incarnation);
-            let waits = life.asked.is_some_and(|asked| now.since(asked) < PROPOSAL_TIMEOUT);
-            if waits || (life.is_unaware() && !life.is_late(now)) {
+            let record = self.record(now, entry.clone(), *incarnation);
+            let waits =
+                record.proposed.is_some_and(|proposed| now.since(proposed) < PROPOSAL_TIMEOUT);
+            if waits || (record.is_unaware() && !record.is_expired(now)) {
                 continue;
             }
-            life.asked = Some(now);
+            record.proposed = Some(now);
             let (entry, incarnation) = (entry.to_string(), *incarnation);
             out.push(Effect::propose(command::Body::Part(Part { entry, incarnation, over: true })));
         }
     }
 }
 
-impl Life {
-    /// Whether it was given up and may not know it.
+impl Record {
+    /// Whether the incarnation was removed and may not know it.
     fn is_unaware(&self) -> bool {
-        !self.left && self.parted.is_some_and(|parted| self.applied < parted)
+        !self.left && self.removed.is_some_and(|removed| self.applied < removed)
     }
 
-    /// Whether each lease that it may have had is over.
-    fn is_late(&self, now: Instant) -> bool {
+    /// Whether each lease that the incarnation may have held is over.
+    fn is_expired(&self, now: Instant) -> bool {
         now.since(self.heard) > LEASE_DURATION + LEASE_MARGIN
     }
 }
 
-/// Each start of an entry that the state knows, by itself or by its leases.
-fn starts(state: &State) -> BTreeSet<Start> {
+/// Incarnations in the state, as an entry or as the holder of a lease.
+fn incarnations(state: &State) -> BTreeSet<Incarnation> {
     let entries = state.entries.iter().map(|(name, entry)| (name.clone(), entry.incarnation));
     let leases = state.groups.values().flat_map(|group| &group.leases);
     let holders =
--- a/components/control/src/overview.rs
+++ b/components/control/src/overview.rs
@@ -1,7 +1,7 @@
-//! What a member tells operators: the body of `GET /v1/status`.
+//! Status report for operators: the body of `GET /v1/status`.
 //!
-//! The host adds what it knows of the quorum. What only the leader sees (lag,
-//! applied indexes, failovers) is missing where it does not lead.
+//! The host adds the data of the quorum. Data that only the leader has (lag,
+//! applied indexes, failovers) is missing in the report of other members.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -11,17 +11,17 @@
 use crate::state::{self, Phase, State};
 use crate::trace::Trace;
 
-/// The whole of it.
+/// Status report of one member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Overview {
-    /// Last index applied.
+    /// Last index that the member has applied.
     pub index: u64,
     /// Version of the declarations.
     pub version: u64,
-    /// Member that leads, as far as is known.
+    /// Name of the leading member, if known.
     pub leader: Option<String>,
-    /// Whether the member that tells this leads.
+    /// Whether the reporting member leads.
     pub leads: bool,
     /// Term of the quorum.
     pub term: u64,
@@ -29,7 +29,7 @@
     pub members: Vec<Member>,
     /// Database groups.
     pub groups: Vec<Group>,
-    /// Entries that live.
+    /// Entries that are alive.
     pub entries: Vec<Entry>,
     /// Newest failovers, oldest first.
     pub failovers: Vec<Failover>,
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Address of its links.
+    /// Address of the member's links to other hosts.
     pub link: String,
-    /// Address of its web port.
+    /// Address of the member's web port.
     pub web: String,
-    /// Whether it votes.
+    /// Whether the member votes.
     pub voter: bool,
 }
 
@@ -53,17 +53,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Group {
-    /// Its name.
+    /// Name of the group.
     pub name: String,
     /// Primary of the newest established term.
     pub primary: Option<String>,
     /// Highest term intended or established.
     pub term: u64,
-    /// How far the newest failover is: `settled`, `intended` or `chosen`.
+    /// Phase of the newest failover: `settled`, `intended` or `chosen`.
     pub phase: String,
-    /// Its servers.
+    /// Servers of the group.
     pub servers: Vec<Server>,
-    /// Leases of its keepers.
+    /// Leases of the group's keepers.
     pub leases: Vec<Lease>,
 }
 
@@ -71,43 +71,43 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub zone: String,
     /// Address for statements.
     pub address: String,
-    /// Connections that it accepts in all.
+    /// Total number of connections that the server accepts.
     pub connections: u32,
-    /// Statements that it runs at once.
+    /// Number of statements that the server runs concurrently.
     pub slots: u32,
-    /// Whether it gets no new work.
+    /// Whether the server is leaving and gets no new work.
     pub leaving: bool,
-    /// Whether its announcements stopped.
+    /// Whether the announcements of the server have stopped.
     pub expired: bool,
-    /// Part that it reported last.
+    /// Role that the server reported last.
     pub role: Option<Role>,
-    /// Term that it reported last.
+    /// Term that the server reported last.
     pub term: Option<u64>,
-    /// Last position that it keeps durably.
+    /// Last log position that the server has stored durably.
     pub received: Option<u64>,
-    /// Last position that its reads see.
+    /// Last log position that is visible to reads on the server.
     pub applied: Option<u64>,
-    /// Positions that it lies behind the primary.
+    /// Number of log positions by which the server lags behind the primary.
     pub lag: Option<u64>,
 }
 
-/// A keeper's lease.
+/// A keeper's lease on a group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Lease {
-    /// The entry.
+    /// Name of the keeper's entry.
     pub entry: String,
-    /// Whether it is being taken back.
+    /// Whether the lease is being returned.
     pub returning: bool,
-    /// Connections, over all servers.
+    /// Leased connections, summed over all servers.
     pub connections: u32,
-    /// Statements at once, over all servers.
+    /// Leased concurrent statements, summed over all servers.
     pub slots: u32,
 }
 
@@ -115,53 +115,53 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the entry.
     pub name: String,
-    /// Its incarnation.
+    /// Incarnation of the entry.
     pub incarnation: u64,
-    /// Availability zone.
+    /// Availability zone of the entry.
     pub zone: String,
-    /// Address of its keeper.
+    /// Address of the entry's keeper.
     pub address: String,
-    /// Address of its web port, where it told one.
+    /// Address of the entry's web port, if it announced one.
     pub web: Option<String>,
-    /// Whether it is drained.
+    /// Whether the entry is drained.
     pub draining: bool,
-    /// Last index that it is known to have applied.
+    /// Last index that the entry is known to have applied.
     pub applied: Option<u64>,
 }
 
-/// A failover. A leader tells how long after it was noticed each step was
-/// taken; a member that only applied the steps tells when, by its wall clock.
+/// A failover. The leader reports the time from detection to each step; a member
+/// that only applied the steps reports when it did so, by its wall clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Failover {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// Its term.
+    /// Term of the failover.
     pub term: u64,
-    /// The new primary.
+    /// Name of the new primary.
     pub server: Option<String>,
-    /// Why it began.
+    /// Cause of the failover.
     pub cause: Option<String>,
-    /// How long ago it was noticed, in milliseconds.
+    /// Time since the cause was detected, in milliseconds.
     pub noticed_ms_ago: Option<u64>,
-    /// Time until a majority was fenced, in milliseconds.
+    /// Time from detection until a majority was fenced, in milliseconds.
     pub fenced_after_ms: Option<u64>,
-    /// Time until the new primary was promoted, in milliseconds.
+    /// Time from detection until the new primary was promoted, in milliseconds.
     pub promoted_after_ms: Option<u64>,
-    /// Time until a majority had followed, in milliseconds.
+    /// Time from detection until the new primary was established, in milliseconds.
     pub established_after_ms: Option<u64>,
-    /// When its term was intended, in milliseconds since 1970.
+    /// When the term was intended, in milliseconds since the Unix epoch.
     pub intended_ms: Option<u64>,
-    /// When the new primary was chosen, in milliseconds since 1970.
+    /// When the new primary was chosen, in milliseconds since the Unix epoch.
     pub chosen_ms: Option<u64>,
-    /// When it was established, in milliseconds since 1970.
+    /// When the new primary was established, in milliseconds since the Unix epoch.
     pub established_ms: Option<u64>,
 }
 
 impl Overview {
-    /// Tells of the state, and of what the leader sees where one is given.
+    /// Reports the state, and the data of the leader if one is given.
     pub fn new(now: Instant, state: &State, leader: Option<&Leader>) -> Self {
         let groups = state.groups.iter();
         let entries = state.entries.iter();
@@ -170,17 +170,17 @@
             index: state.index,
             version: state.version,
             groups: groups
-                .map(|(name, group)| tell_group(now, state, leader, name, group))
+                .map(|(name, group)| report_group(now, state, leader, name, group))
                 .collect(),
-            entries: entries.map(|(name, entry)| tell_entry(leader, name, entry)).collect(),
-            failovers: traces.map(|trace| tell_failover(now, trace)).collect(),
+            entries: entries.map(|(name, entry)| report_entry(leader, name, entry)).collect(),
+            failovers: traces.map(|trace| report_failover(now, trace)).collect(),
             ..Self::default()
         }
     }
 }
 
 impl Failover {
-    /// Takes what its leader saw of it.
+    /// Copies the cause and the durations that the leader observed.
     pub fn observe(&mut self, seen: Self) {
         self.cause = seen.cause;
         self.noticed_ms_ago = seen.noticed_ms_ago;
@@ -190,7 +190,7 @@
     }
 }
 
-fn tell_group(
+fn report_group(
     now: Instant,
     state: &State,
     leader: Option<&Leader>,
@@ -201,7 +201,7 @@
     let head = group.primary.as_ref().and_then(status).map(|status| status.received);
     let servers = state.servers.iter().filter(|(_, server)| server.group == *name);
     let servers = servers.map(|(name, server)| {
-        let mut server = tell_server(name, server);
+        let mut server = report_server(name, server);
         if let Some(status) = status(name) {
             server.role = Some(status.role);
             server.term = Some(status.term.0);
@@ -222,11 +222,11 @@
         term: group.term.0,
         phase: phase.to_owned(),
         servers: servers.collect(),
-        leases: group.leases.iter().map(tell_lease).collect(),
+        leases: group.leases.iter().map(report_lease).collect(),
     }
 }
 
-fn tell_server(name: &Name, server: &state::Server) -> Server {
+fn report_server(name: &Name, server: &state::Server) -> Server {
     Server {
         name: name.to_string(),
         zone: server.zone.to_string(),
@@ -239,7 +239,7 @@
     }
 }
 
-fn tell_lease(lease: &wire::log::Lease) -> Lease {
+fn report_lease(lease: &wire::log::Lease) -> Lease {
     Lease {
         entry: lease.entry.clone(),
         returning: lease.returning,
@@ -248,7 +248,7 @@
     }
 }
 
-fn tell_entry(leader: Option<&Leader>, name: &Name, entry: &state::Entry) -> Entry {
+fn report_entry(leader: Option<&Leader>, name: &Name, entry: &state::Entry) -> Entry {
     let applied = leader.map(|leader| leader.applied(name, entry.incarnation));
     Entry {
         name: name.to_string(),
@@ -261,7 +261,7 @@
     }
 }
 
-fn tell_failover(now: Instant, trace: &Trace) -> Failover {
+fn report_failover(now: Instant, trace: &Trace) -> Failover {
     let millis = |at: Instant| at.since(trace.noticed).as_millis() as u64;
     let cause: Cause = trace.cause;
     Failover {
--- a/components/control/src/planner.rs
+++ b/components/control/src/planner.rs
@@ -1,17 +1,18 @@
-//! The lease planner: shares of each group's servers for its keepers.
+//! The lease planner: assigns shares of each group's servers to its keepers.
 //!
-//! The sum of what entries may believe to hold never passes a server's limit:
+//! The sum of the shares that entries may believe to hold never exceeds a
+//! server's limit:
 //!
-//! - A share that an entry is to lose is first marked as returning, and is
-//!   granted again only once the entry has told that it gave it up, in a beat
-//!   sent after it had applied that mark, or once the entry was parted.
-//! - A share grows only while every holder knows what was taken from it, so
-//!   that none still believes an earlier, larger share, and while no lease of
-//!   an entry that was given up may still run.
+//! - A lease that an entry must lose is first marked as returning. Its shares
+//!   are granted again only after the entry reported that it released them, in
+//!   a heartbeat sent after it had applied the mark, or was removed.
+//! - A share grows only while every holder has applied the last reduction of
+//!   its lease, so that none still relies on an earlier, larger share, and while
+//!   no lease of a removed entry may still be in force.
 //! - A restarted entry gets no lease on a group while an earlier incarnation
-//!   of it still holds one.
+//!   of the entry still holds one.
 //!
-//! Where a server lowers its limits, shares shrink at once.
+//! If a server lowers its limits, the shares shrink at once.
 
 use std::collections::BTreeMap;
 
@@ -29,24 +30,24 @@
 /// Time for which a group without leases waits for more entries to join.
 pub const JOIN_WAIT: Duration = Duration::from_millis(120);
 
-/// Time between two looks at all groups when nothing was applied.
-const PACE: Duration = Duration::from_millis(100);
+/// Time between two planning passes over all groups while no command is applied.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
 type Targets<'a> = SmallVec<[&'a Name; KEEPERS_PER_GROUP]>;
 
 /// Plans the leases of all groups.
 #[derive(Debug)]
 pub struct Planner {
-    /// Generation at which an entry gave up its lease on a group.
+    /// Generation at which an entry released its lease, by group and entry.
     returned: BTreeMap<(Name, Name), u64>,
-    /// When a group without leases could first have some.
+    /// When each group without leases first had entries that could hold one.
     empty: BTreeMap<Name, Instant>,
-    /// Generation that was planned from last, and when.
+    /// Generation on which the last proposal for a group was based, and its time.
     proposed: BTreeMap<Name, (u64, Instant)>,
-    looked: Option<(u64, Instant)>,
-    /// Entries that may keep groups, as [`Planner::targets`] goes by them.
-    live: Vec<Candidate>,
-    /// Keepers of each group among them.
+    planned: Option<(u64, Instant)>,
+    /// Entries that may keep groups; [`Planner::targets`] is computed from them.
+    candidates: Vec<Candidate>,
+    /// Entries that should keep each group, chosen among the candidates.
     targets: BTreeMap<Name, SmallVec<[Name; KEEPERS_PER_GROUP]>>,
     flaw: Flaw,
 }
@@ -58,8 +59,8 @@
     zone: Name,
 }
 
-/// Least weight with which an entry keeps groups: half of the greatest, unless
-/// too few entries have that.
+/// Least weight with which an entry may keep groups: half of the greatest weight,
+/// or zero if too few entries reach that.
 fn least_weight(weights: impl Iterator<Item = u32> + Clone) -> u32 {
     let most = weights.clone().max().unwrap_or_default();
     let strong = weights.filter(|&weight| weight >= most / 2).count();
@@ -67,21 +68,21 @@
 }
 
 impl Planner {
-    /// Knows of no return yet.
+    /// Creates a planner that knows no released leases yet.
     pub fn new(flaw: Flaw) -> Self {
         Self {
             returned: BTreeMap::new(),
             empty: BTreeMap::new(),
             proposed: BTreeMap::new(),
-            looked: None,
-            live: Vec::new(),
+            planned: None,
+            candidates: Vec::new(),
             targets: BTreeMap::new(),
             flaw,
         }
     }
 
-    /// Notes which returning leases an entry has given up. `applied` is the
-    /// index that it knew when it said so.
+    /// Records which returning leases an entry has released. `applied` is the last
+    /// index that the entry had applied when it reported so.
     pub fn record_returned(
         &mut self,
         state: &State,
@@ -97,12 +98,12 @@
             if applied >= group.reduced_index && group.lease(entry.as_str()).is_some_and(returning)
             {
                 self.returned.insert((name.clone(), entry.clone()), group.generation);
-                self.looked = None;
+                self.planned = None;
             }
         }
     }
 
-    /// Proposes the next step of each group's leases.
+    /// Proposes the next change of each group's leases.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -110,12 +111,13 @@
         liveness: &Liveness,
         out: &mut Vec<Effect>,
     ) {
-        let looked = |(index, at): (u64, Instant)| index == state.index && now.since(at) < PACE;
-        if self.looked.is_some_and(looked) {
+        let planned =
+            |(index, at): (u64, Instant)| index == state.index && now.since(at) < PLAN_INTERVAL;
+        if self.planned.is_some_and(planned) {
             return;
         }
-        self.looked = Some((state.index, now));
-        self.look(state, liveness);
+        self.planned = Some((state.index, now));
+        self.update_targets(state, liveness);
         self.returned.retain(|(group, _), generation| {
             state.groups.get(group).is_some_and(|group| group.generation == *generation)
         });
@@ -124,7 +126,7 @@
             let asked = self.proposed.get(name).is_some_and(|&(generation, at)| {
                 generation == group.generation && now.since(at) < PROPOSAL_TIMEOUT
             });
-            if asked || !self.settled(now, state, name, group) {
+            if asked || !self.is_ready(now, state, name, group) {
                 continue;
             }
             if let Some(leases) = self.plan(state, (liveness, are_over), name, group) {
@@ -135,8 +137,9 @@
         }
     }
 
-    /// Finds each group's keepers, where groups or the entries that live changed.
-    fn look(&mut self, state: &State, liveness: &Liveness) {
+    /// Updates the keepers that each group should have, if groups or candidates
+    /// changed.
+    fn update_targets(&mut self, state: &State, liveness: &Liveness) {
         let open = state
             .entries
             .iter()
@@ -148,8 +151,8 @@
             zone: entry.zone.clone(),
         };
         let candidates: Vec<Candidate> = live.clone().map(candidate).collect();
-        if candidates != self.live {
-            self.live = candidates;
+        if candidates != self.candidates {
+            self.candidates = candidates;
             self.targets.clear();
         }
         self.targets.retain(|name, _| state.groups.contains_key(name));
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Whether a group without leases has waited for long enough.
-    fn settled(&mut self, now: Instant, state: &State, name: &Name, group: &Group) -> bool {
+    /// Whether a group has leases, or has waited for [`JOIN_WAIT`] without any.
+    fn is_ready(&mut self, now: Instant, state: &State, name: &Name, group: &Group) -> bool {
         if !group.leases.is_empty() || state.entries.is_empty() {
             self.empty.remove(name);
             return true;
@@ -182,7 +185,7 @@
         leases.retain(|lease| !self.is_returned(name, group, lease));
         let may_grow = self.flaw == Flaw::GrantEarly || liveness.can_grant(group, are_over);
         if may_grow {
-            mark(state, group, &targets, &mut leases);
+            mark_returning(state, group, &targets, &mut leases);
         }
         let leases = share(state, group, &targets, leases, may_grow);
         (leases[..] != group.leases[..]).then_some(leases)
@@ -196,12 +199,12 @@
             return true;
         }
         let entry = Name::new(&lease.entry).ok();
-        let told = entry.and_then(|entry| self.returned.get(&(name.clone(), entry)));
-        told == Some(&group.generation)
+        let released = entry.and_then(|entry| self.returned.get(&(name.clone(), entry)));
+        released == Some(&group.generation)
     }
 }
 
-/// Gives the targets what they should have and what is free.
+/// Moves the shares of the targets towards their due size, as far as shares are free.
 fn share(
     state: &State,
     group: &Group,
@@ -216,7 +219,7 @@
         targets.iter().copied().filter(|&target| is_open(state, &leases, target)).collect();
     for &target in &open {
         if !leases.iter().any(|lease| lease.entry == target.as_str()) {
-            leases.push(empty(state, target));
+            leases.push(new_lease(state, target));
         }
     }
     for (turn, seat) in group.seats.iter().enumerate() {
@@ -228,23 +231,23 @@
     leases
 }
 
-/// Whether a target may hold shares now: no earlier incarnation of it does,
-/// and its lease is not returning.
+/// Whether the shares of a target may change now: no earlier incarnation of the
+/// target holds a lease, and its own lease is not returning.
 fn is_open(state: &State, leases: &[Lease], target: &Name) -> bool {
     let incarnation = state.entries.get(target).map(|entry| entry.incarnation);
     let lease = leases.iter().find(|lease| lease.entry == target.as_str());
     lease.is_none_or(|lease| !lease.returning && Some(lease.incarnation) == incarnation)
 }
 
-fn empty(state: &State, target: &Name) -> Lease {
+fn new_lease(state: &State, target: &Name) -> Lease {
     let incarnation = state.entries.get(target).map_or(0, |entry| entry.incarnation);
     Lease { entry: target.to_string(), incarnation, shares: Vec::new(), returning: false }
 }
 
-/// Marks one lease as returning, where none is: that of an entry which is no
-/// target, or one that holds what the other target lacks. Due only while its
-/// shares could be granted again.
-fn mark(state: &State, group: &Group, targets: &Targets<'_>, leases: &mut [Lease]) {
+/// Marks one lease as returning, unless one is already: that of an entry which is
+/// no target, or an oversized one while another target holds no shares. Called
+/// only while the returned shares could be granted again.
+fn mark_returning(state: &State, group: &Group, targets: &Targets<'_>, leases: &mut [Lease]) {
     if leases.iter().any(|lease| lease.returning) {
         return;
     }
@@ -252,19 +255,19 @@
         leases.iter().any(|lease| lease.entry == target.as_str() && !lease.shares.is_empty())
     };
     let lacking = !targets.iter().all(|target| has(target));
-    let must = |lease: &&mut Lease| {
+    let must_return = |lease: &&mut Lease| {
         let entry = state.entries.get(lease.entry.as_str());
         let live = entry.is_some_and(|entry| entry.incarnation == lease.incarnation);
         let target = targets.iter().any(|target| target.as_str() == lease.entry);
         live && (!target
             || (lacking && targets.len() == KEEPERS_PER_GROUP && oversized(state, group, lease)))
     };
-    if let Some(lease) = leases.iter_mut().find(must) {
+    if let Some(lease) = leases.iter_mut().find(must_return) {
         lease.returning = true;
     }
 }
 
-/// Whether a lease holds more than a keeper's part of any server.
+/// Whether a lease holds more than one keeper's share of any server.
 fn oversized(state: &State, group: &Group, lease: &Lease) -> bool {
     let held =
         lease.shares.iter().filter(|share| group.seats.iter().any(|s| s.as_str() == share.server));
@@ -308,9 +311,9 @@
         })
         .collect();
     let parts = |limit, taken, held| {
-        let holding =
+        let allocation =
             Allocation { limit, unavailable: taken, held, keepers: targets.len(), may_grow };
-        split(&holding, turn)
+        split(&allocation, turn)
     };
     let connections = parts(
         state.grantable(server),
@@ -331,8 +334,9 @@
     }
 }
 
-/// Cuts shares of a server that lowered its limits, but for those of the
-/// targets, which are split anew. Whether it did: none may grow with it.
+/// Cuts the shares of a server that lowered its limits, except those that are
+/// `spared`, which are split anew. Returns whether the limits were exceeded, in
+/// which case no share of the server may grow.
 fn cut(
     state: &State,
     server: &Server,
--- a/components/control/src/rendezvous.rs
+++ b/components/control/src/rendezvous.rs
@@ -1,8 +1,9 @@
-//! Rendezvous hashing: which entries keep a group.
+//! Rendezvous hashing: selects the entries that keep a group.
 //!
-//! Each entry has a score for each group, and the highest keep it, so that an
-//! entry that comes or goes moves only the groups that it keeps. The second
-//! keeper stands in another availability zone than the first, where one can.
+//! Each entry has a score for each group, and the entries with the highest
+//! scores keep the group, so that an entry that joins or leaves moves only its
+//! own groups. The second keeper is in another availability zone than the
+//! first, where possible.
 
 use base::prelude::*;
 use smallvec::SmallVec;
@@ -10,10 +11,10 @@
 
 use crate::state::Entry;
 
-/// Keepers of a group.
+/// Number of entries that keep a group.
 pub const KEEPERS_PER_GROUP: usize = 2;
 
-/// The entries that keep a group, best first.
+/// The entries that keep a group, highest score first.
 pub fn keepers<'a>(
     group: &Name,
     entries: impl Iterator<Item = (&'a Name, &'a Entry)> + Clone,
--- a/components/control/src/renewals.rs
+++ b/components/control/src/renewals.rs
@@ -1,6 +1,6 @@
-//! Which backend servers still announce themselves.
+//! Tracks which backend servers still announce themselves.
 //!
-//! A renewal that says nothing new is not logged.
+//! An announcement that changes nothing is not logged.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +10,34 @@
 use crate::leader::{Effect, PROPOSAL_TIMEOUT};
 use crate::state::State;
 
-/// Time between two announcements of a server.
+/// Time between two announcements of a backend server.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time without an announcement after which a server counts as gone.
+/// Time without an announcement after which a backend server expires.
 pub const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Debug)]
 struct Renewal {
     heard: Instant,
     proposed: Option<(Announce, Instant)>,
-    /// Incarnation and number of the newest announcement.
+    /// Incarnation and sequence number of the newest announcement.
     newest: (u64, u64),
     expired: Option<Instant>,
 }
 
-/// Servers as the leader hears of them.
+/// Backend servers from which the leader received announcements.
 #[derive(Debug, Default)]
 pub struct Renewals {
     servers: BTreeMap<Name, Renewal>,
 }
 
 impl Renewals {
-    /// Knows of no server yet.
+    /// Creates a tracker that knows no server yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes an announcement and proposes what is new in it.
+    /// Records an announcement and proposes it if it changes the state.
     pub fn record_announce(
         &mut self,
         now: Instant,
@@ -45,11 +45,11 @@
         announce: Announce,
         out: &mut Vec<Effect>,
     ) {
-        let judged = state.check_announce(&announce);
+        let checked = state.check_announce(&announce);
         let Ok(name) = Name::new(&announce.server) else {
             return;
         };
-        let Ok(new) = judged.map(|found| found.is_some()) else {
+        let Ok(new) = checked.map(|found| found.is_some()) else {
             return;
         };
         let renewal = self.renewal(now, name);
@@ -74,7 +74,7 @@
         self.servers.entry(name).or_insert(fresh)
     }
 
-    /// Expires the servers that were silent for too long.
+    /// Expires the servers whose last announcement is older than [`ANNOUNCE_TIMEOUT`].
     pub fn tick(&mut self, now: Instant, state: &State, out: &mut Vec<Effect>) {
         for (name, server) in state.servers.iter().filter(|(_, server)| !server.expired) {
             let renewal = self.renewal(now, name.clone());
--- a/components/control/src/split.rs
+++ b/components/control/src/split.rs
@@ -1,26 +1,28 @@
-//! How one limit of a server is split between a group's keepers.
+//! Splits one limit of a backend server between the keepers of its group.
 
 use smallvec::SmallVec;
 
 use crate::rendezvous::KEEPERS_PER_GROUP;
 
-/// Who holds what of one limit.
+/// Current use of one limit of a server.
 #[derive(Clone, Debug)]
 pub struct Allocation {
-    /// The whole.
+    /// The limit: connections or concurrent statements.
     pub limit: u32,
-    /// Held by entries that are to have none, or that can't take more now.
+    /// Amount held by entries that are no keepers, or whose shares can't grow now.
     pub unavailable: u32,
-    /// Held by each keeper that can take more.
+    /// Amount held by each keeper whose share can grow.
     pub held: SmallVec<[u32; KEEPERS_PER_GROUP]>,
-    /// Number of keepers that the whole is split between.
+    /// Number of keepers that the limit is split between.
     pub keepers: usize,
-    /// Whether a share may grow now.
+    /// Whether any share may grow now.
     pub may_grow: bool,
 }
 
-/// What each keeper of `held` is to have. An odd one goes to the keepers by
-/// turns; a keeper that has its part already keeps it.
+/// Share of each keeper in `held`. An odd unit goes to the first keeper at even
+/// values of `turn` and to the second at odd ones; a keeper that already holds
+/// half of the limit, rounded down or up, keeps its share. The whole limit is due
+/// to a single keeper.
 pub fn split(allocation: &Allocation, turn: usize) -> SmallVec<[u32; KEEPERS_PER_GROUP]> {
     let mut shares = allocation.held.clone();
     let held: u32 = shares.iter().sum();
--- a/components/control/src/state.rs
+++ b/components/control/src/state.rs
@@ -1,7 +1,7 @@
-//! The state that the control log builds.
+//! The replicated state of the control log.
 //!
 //! Members and entries hold the same state at the same index. Applying a
-//! command asks no clock and no other host.
+//! command is deterministic: it reads no clock and contacts no other host.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 use crate::changes::Changes;
 use crate::lease::RESERVED_CONNECTIONS;
 
-/// All that the control log has decided, up to an index.
+/// Result of all commands of the control log up to an index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
-    /// Index of the last command applied.
+    /// Index of the last applied command.
     pub index: u64,
-    /// Version of the declarations; raised by one by each accepted change.
+    /// Version of the declarations; each accepted change increments it.
     pub version: u64,
-    /// Edition of the declarations, where they come as whole editions.
+    /// Edition of the declarations, if they are replaced as whole editions.
     pub edition: u64,
-    /// The document that the edition was read from, packed; entries lack it.
+    /// Compressed document from which the edition was read; empty on entries.
     pub document: Bytes,
     /// The declarations in force.
     pub declarations: Arc<Declarations>,
@@ -33,12 +33,12 @@
     pub groups: BTreeMap<Name, Group>,
     /// Backend servers, by name.
     pub servers: BTreeMap<Name, Server>,
-    /// Entries that live, by name.
+    /// Entries that are alive, by name.
     pub entries: BTreeMap<Name, Entry>,
-    /// Starts of entries that were given up while they held leases, each with
-    /// the index of that: they may not know it yet.
+    /// Entries and incarnations that were removed while they held leases, each
+    /// with the index of the removal: they may not know of it yet.
     pub departed: BTreeMap<(Name, u64), u64>,
-    /// Entries that an operator drains, whether they live or not.
+    /// Entries that an operator drains, whether they are alive or not.
     pub drained: BTreeSet<Name>,
     /// Answers to the newest changes of the declarations.
     pub changes: Changes,
@@ -47,92 +47,94 @@
 /// A database group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Group {
-    /// Servers that have a seat, in the order they came. A seat outlives its
-    /// server's announcements: a majority is counted over the declared number.
+    /// Servers that have a seat, in the order of their first announcements. A
+    /// server keeps its seat after its announcements expire, because a majority
+    /// is counted over the declared number of servers.
     pub seats: SmallVec<[Name; 3]>,
     /// Highest term that was intended or established.
     pub term: Term,
-    /// How far the newest failover is.
+    /// Phase of the newest failover.
     pub phase: Phase,
     /// Primary of the newest established term.
     pub primary: Option<Name>,
-    /// Where the ordered terms began.
+    /// Log position at which each term began, for the terms that a failover chose.
     pub history: History,
-    /// Leases of entries on its servers.
+    /// Leases of entries on the servers of the group.
     pub leases: SmallVec<[Lease; 2]>,
-    /// Raised by each change of the leases.
+    /// Version of the leases; each change increments it.
     pub generation: u64,
-    /// Index of the command that last took something from a holder of a lease.
+    /// Index of the last command that reduced a lease.
     pub reduced_index: u64,
-    /// Index of the command that last ended a lease: what its holder had
-    /// acknowledged is not known from it any more.
+    /// Index of the last command that ended a lease. The holder of that lease no
+    /// longer reports what it has acknowledged.
     pub ended_index: u64,
 }
 
-/// How far a failover is.
+/// Phase of a failover.
 #[derive(Clone, Debug, Default, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum Phase {
-    /// No term is known yet, or none is open.
+    /// No term is known yet, or the newest one is established.
     #[default]
     Settled,
-    /// A term is intended; its fence may be under way.
+    /// A term is intended; servers may be fenced at it already.
     Intended,
-    /// The primary of the term is chosen.
+    /// The primary of the term is chosen but not established.
     Chosen {
         /// Server to promote.
         server: Name,
-        /// Last record of its log when it was fenced.
+        /// Last record of the server's log when it was chosen.
         start: Mark,
     },
 }
 
-/// A backend server as it announced itself last.
+/// A backend server, from its last announcement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Raised by each start of the server.
+    /// Incarnation of the server; each start increments it.
     pub incarnation: u64,
-    /// Its group.
+    /// Group of the server.
     pub group: Name,
-    /// Where it takes statements and probes.
+    /// Address for statements and probes.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: Name,
-    /// Its labels.
+    /// Labels of the server.
     pub labels: Labels,
-    /// Connections that it accepts in all.
+    /// Total number of connections that the server accepts.
     pub connections: u32,
-    /// Statements that it runs at once.
+    /// Number of statements that the server runs concurrently.
     pub slots: u32,
-    /// Whether it is to get no new work.
+    /// Whether the server is leaving and gets no new work.
     pub leaving: bool,
-    /// Whether its announcements stopped.
+    /// Whether the announcements of the server have stopped.
     pub expired: bool,
-    /// Whether it takes itself for the primary, where it tells.
+    /// Whether the server announces itself as the primary; `false` if it does not
+    /// announce a role.
     pub primary: bool,
 }
 
-/// An entry that lives.
+/// An entry that is alive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Raised by each start of the entry.
+    /// Incarnation of the entry; each start increments it.
     pub incarnation: u64,
-    /// Where its keeper listens.
+    /// Address on which the entry's keeper listens.
     pub address: SocketAddr,
-    /// Where its web server listens; `None` when it told no address.
+    /// Address on which the entry's web server listens; `None` if it announced none.
     pub web: Option<SocketAddr>,
     /// Availability zone.
     pub zone: Name,
-    /// Whether its earlier incarnations are known to be gone.
+    /// Whether all earlier incarnations of the entry are known to have ended.
     pub sole: bool,
-    /// How much its host can carry beside others.
+    /// Capacity of the entry's host, relative to other hosts.
     pub weight: u32,
-    /// Whether an operator drains it.
+    /// Whether an operator drains the entry.
     pub draining: bool,
 }
 
 impl Group {
-    /// The lease of an entry on this group, if it has one; it may be that of an
+    /// The lease of an entry on this group, if any. The lease may belong to an
     /// earlier incarnation of the entry.
     pub fn lease(&self, entry: &str) -> Option<&Lease> {
         self.leases.iter().find(|lease| lease.entry == entry)
@@ -140,41 +142,42 @@
 }
 
 impl State {
-    /// Moves over an index that holds no command.
+    /// Skips to an index that holds no command.
     pub fn skip_to(&mut self, index: u64) {
         self.index = self.index.max(index);
     }
 
-    /// Whether an incarnation of an entry is known to be gone.
+    /// Whether an incarnation of an entry is known to have ended.
     pub fn has_ended(&self, entry: &str, incarnation: u64) -> bool {
         self.entries.get(entry).is_some_and(|known| known.sole && known.incarnation > incarnation)
     }
 
-    /// Whether the declarations name a group.
+    /// Whether a group is declared.
     pub fn declares(&self, group: &str) -> bool {
         self.declarations.groups.contains_key(group)
     }
 
-    /// Whether the servers of a group acknowledge by themselves.
+    /// Whether a group is unfenced: its servers acknowledge commits by themselves
+    /// and can't be fenced.
     pub fn acknowledges(&self, group: &str) -> bool {
         self.declarations.groups.get(group).is_some_and(|group| group.acknowledges)
     }
 
-    /// Connections of a server that may be granted to entries.
+    /// Number of connections of a server that may be granted to entries.
     pub fn grantable(&self, server: &Server) -> u32 {
         let declared = self.declarations.groups.get(&server.group);
         let limit = declared.map(|group| group.connections).filter(|&limit| limit > 0);
         limit.unwrap_or(server.connections).saturating_sub(RESERVED_CONNECTIONS)
     }
 
-    /// Servers that make a majority of a group; zero when it is not declared.
+    /// Number of servers that make a majority of a group; zero if it is not declared.
     pub fn majority(&self, group: &str) -> usize {
         self.declarations.groups.get(group).map_or(0, |group| group.servers as usize / 2 + 1)
     }
 }
 
 impl Server {
-    /// A server as its announcement gives it; `None` when a part can't be read.
+    /// Reads a server from its announcement; `None` if a field is malformed.
     pub fn from_announce(announce: &log::Announce) -> Option<(Name, Self)> {
         let mut labels = Labels::new();
         for label in &announce.labels {
@@ -195,7 +198,7 @@
         Some((Name::new(&announce.server).ok()?, server))
     }
 
-    /// The announcement that gives this server.
+    /// Announcement from which this server can be read again.
     pub fn to_announce(&self, name: &Name) -> log::Announce {
         let label = |(key, value): (&Name, &Name)| log::Label {
             key: key.to_string(),
@@ -218,7 +221,7 @@
 }
 
 impl Entry {
-    /// An entry as its command gives it; `None` when a part can't be read.
+    /// Reads an entry from its join command; `None` if a required field is malformed.
     pub fn from_join(join: &log::Join) -> Option<(Name, Self)> {
         let entry = Self {
             incarnation: join.incarnation,
@@ -232,7 +235,7 @@
         Some((Name::new(&join.entry).ok()?, entry))
     }
 
-    /// The command that gives this entry.
+    /// Join command from which this entry can be read again.
     pub fn to_join(&self, name: &Name) -> log::Join {
         log::Join {
             entry: name.to_string(),
--- a/components/control/src/trace.rs
+++ b/components/control/src/trace.rs
@@ -1,30 +1,30 @@
-//! When the steps of a failover were taken.
+//! Times at which the steps of a failover were taken.
 
 use base::prelude::*;
 
 use crate::detector::Cause;
 
-/// One failover as its leader saw it. Times are of the leader's clock.
+/// Timeline of one failover. All times are read from the leader's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
-    /// The group.
+    /// The group that fails over.
     pub group: Name,
-    /// Newest term that was intended for it.
+    /// Newest term that was intended for the group.
     pub term: Term,
-    /// Why it began.
+    /// Cause of the failover.
     pub cause: Cause,
-    /// When the need for it was seen.
+    /// When the leader detected the cause.
     pub noticed: Instant,
     /// When a majority was fenced.
     pub fenced: Option<Instant>,
     /// When the new primary was promoted.
     pub promoted: Option<Instant>,
-    /// When a majority had followed and that was committed.
+    /// When a majority followed the new primary and the term was established in the log.
     pub established: Option<Instant>,
 }
 
 impl Trace {
-    /// Starts with the need for a failover.
+    /// Creates the timeline of a failover that was detected at `now`.
     pub fn new(now: Instant, group: Name, term: Term, cause: Cause) -> Self {
         Self { group, term, cause, noticed: now, fenced: None, promoted: None, established: None }
     }
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -1,32 +1,34 @@
-//! What a leader sees of one backend server by its own probes.
+//! Health of one backend server as seen by the leader's own probes.
 
 use base::prelude::*;
 
 use crate::leader::{Ask, ProbeError};
 
-/// Time without an answer after which a server counts as silent. A busy server
-/// answers late, and no failover is worth it for load alone.
+/// Time without an answer after which a server counts as silent. Long enough
+/// that a busy server, which answers late, causes no failover.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time between two reports of a server whose group is well: its keepers watch
-/// it, and a symptom of theirs makes the leader ask at once.
+/// Time between two status probes of a server whose group is healthy. Long,
+/// because the keepers watch the primary too, and a symptom that they report
+/// makes the leader probe at once.
 pub const HEALTHY_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Age up to which a report says how a server is now.
+/// Age up to which a status report counts as current.
 pub const FRESH_AGE_LIMIT: Duration = Duration::from_millis(500);
 
-/// Time after which the end of a probe is no longer waited for.
-const LOST: Duration = Duration::from_secs(2);
+/// Time after which a probe without a result is considered lost.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Wait before a server that failed is asked again.
-const RETRY: Duration = Duration::from_millis(40);
+/// Backoff before the next probe after 2 or more failures in a row.
+const RETRY_BACKOFF: Duration = Duration::from_millis(40);
 
-/// The same after [`MANY`] failures in a row.
-const LATE_RETRY: Duration = Duration::from_millis(250);
+/// Backoff before the next probe after [`SLOW_RETRY_FAILURES`] failures in a row.
+const SLOW_RETRY_BACKOFF: Duration = Duration::from_millis(250);
 
-const MANY: u32 = 20;
+/// Failures in a row from which on [`SLOW_RETRY_BACKOFF`] applies.
+const SLOW_RETRY_FAILURES: u32 = 20;
 
-/// One server.
+/// Results of the probes of one backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     status: Option<Status>,
@@ -38,19 +40,21 @@
 }
 
 impl Watch {
-    /// Its newest report.
+    /// Newest status report of the server.
     pub fn status(&self) -> Option<&Status> {
         self.status.as_ref()
     }
 
-    /// Its newest report, when it says how the server is now.
+    /// Newest status report, if it is no older than [`FRESH_AGE_LIMIT`] and no
+    /// probe has failed since.
     pub fn fresh(&self, now: Instant) -> Option<&Status> {
         let heard = self.heard.filter(|&heard| now.since(heard) <= FRESH_AGE_LIMIT)?;
         let broken = self.failed.is_some_and(|(_, at)| at > heard);
         self.status.as_ref().filter(|_| !broken)
     }
 
-    /// Its newest report, when it is no older than a well group's may be.
+    /// Newest status report, if it is no older than a healthy group's may be and
+    /// no probe has failed since.
     pub fn recent(&self, now: Instant) -> Option<&Status> {
         let late = self
             .heard
@@ -58,23 +62,24 @@
         self.status.as_ref().filter(|_| !late && self.failures == 0)
     }
 
-    /// Whether a report is to be asked for now; `calm` when the group is well.
-    pub fn is_due(&self, now: Instant, calm: bool) -> bool {
-        if calm && self.heard.is_some_and(|heard| now.since(heard) < HEALTHY_PROBE_INTERVAL) {
+    /// Whether a status probe is due; `healthy` if the group is healthy.
+    pub fn is_due(&self, now: Instant, healthy: bool) -> bool {
+        if healthy && self.heard.is_some_and(|heard| now.since(heard) < HEALTHY_PROBE_INTERVAL) {
             return false;
         }
         if let Some(asked) = self.asked {
-            return now.since(asked) > LOST;
+            return now.since(asked) > PROBE_TIMEOUT;
         }
         let wait = match self.failures {
             0 | 1 => Duration::ZERO,
-            2..MANY => RETRY,
-            _ => LATE_RETRY,
+            2..SLOW_RETRY_FAILURES => RETRY_BACKOFF,
+            _ => SLOW_RETRY_BACKOFF,
         };
         self.failed.is_none_or(|(_, at)| now.since(at) >= wait)
     }
 
-    /// Whether its newest report shows it in `term`, in touch with the primary.
+    /// Whether the newest report shows the server in `term`, with at most `lost`
+    /// since it heard of the primary.
     pub fn is_healthy(&self, term: Term, lost: Duration) -> bool {
         let well = |status: &Status| {
             status.term == term && status.log_term == term && status.silence <= lost
@@ -82,29 +87,29 @@
         self.failures == 0 && self.status.as_ref().is_some_and(well)
     }
 
-    /// Takes a time off its silence in which the leader itself stood still.
+    /// Excludes a stall of the leader itself from the server's silence.
     pub fn exclude_stall(&mut self, gap: Duration) {
         for at in [&mut self.asked, &mut self.heard].into_iter().flatten() {
             *at += gap;
         }
     }
 
-    /// Notes that a report was asked for.
+    /// Records that a status probe was sent.
     pub fn record_ask(&mut self, now: Instant) {
         self.asked = Some(now);
     }
 
-    /// Whether an order may be sent: none is under way.
+    /// Whether an order may be sent: no other order is in flight.
     pub fn accepts_order(&self, now: Instant) -> bool {
-        self.order.is_none_or(|(_, at)| now.since(at) > LOST)
+        self.order.is_none_or(|(_, at)| now.since(at) > PROBE_TIMEOUT)
     }
 
-    /// Notes that an order was sent.
+    /// Records that an order was sent.
     pub fn record_order(&mut self, now: Instant, ask: Ask) {
         self.order = Some((ask, now));
     }
 
-    /// Takes the end of a probe.
+    /// Records the result of a probe.
     pub fn record_result(&mut self, now: Instant, ask: Ask, result: Result<&Status, ProbeError>) {
         if ask == Ask::Status {
             self.asked = None;
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Takes a report, unless a newer one of the server came before it.
+    /// Stores a status report, unless a newer report of the server arrived before it.
     fn report(&mut self, now: Instant, status: &Status) {
         let newest = |known: &Status| {
             (known.incarnation, known.version) <= (status.incarnation, status.version)
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Failures in a row, when the last one found its process gone.
+    /// Number of failures in a row if the last one was a refused connection, else zero.
     pub fn refusals(&self) -> u32 {
         match self.failed {
             Some((ProbeError::Refused, _)) => self.failures,
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Whether it left a probe without an answer for [`SILENCE_TIMEOUT`].
+    /// Whether the server left a probe without an answer for [`SILENCE_TIMEOUT`].
     pub fn is_silent(&self, now: Instant) -> bool {
         let waits = self.asked.is_some_and(|asked| now.since(asked) >= SILENCE_TIMEOUT);
         let failed = matches!(self.failed, Some((ProbeError::Silent, _)));
@@ -150,12 +155,12 @@
         (waits || failed) && unheard
     }
 
-    /// How long a report has been waited for.
+    /// Time since the status probe in flight was sent; zero if there is none.
     pub fn waiting_time(&self, now: Instant) -> Duration {
         self.asked.map_or(Duration::ZERO, |asked| now.since(asked))
     }
 
-    /// Whether its process is gone or it is silent.
+    /// Whether the server refuses connections or is silent.
     pub fn is_down(&self, now: Instant) -> bool {
         self.refusals() > 0 || self.is_silent(now)
     }
--- a/components/control/tests/configuration.rs
+++ b/components/control/tests/configuration.rs
@@ -1,6 +1,6 @@
-//! Fuzzes changes of the declarations against a plain list of the accepted
-//! ones: duplicates, races on a base, invalid contents, members at different
-//! indexes, and images in the middle of it.
+//! Fuzzes changes of the declarations against a model that lists the accepted
+//! ones: duplicate changes, concurrent changes of one version, invalid content,
+//! members at different indexes, and restores from images in between.
 
 mod schedule;
 
@@ -21,7 +21,7 @@
     State { index: u64, version: u64, due: u64 },
 }
 
-/// What the log means, kept as plainly as can be.
+/// Simple model of the answers and versions that the log must produce.
 #[derive(Default)]
 struct Oracle {
     accepted: Vec<String>,
--- a/components/control/tests/designation.rs
+++ b/components/control/tests/designation.rs
@@ -1,4 +1,5 @@
-//! The change of primary in a group whose servers acknowledge by themselves.
+//! Tests the change of primary in an unfenced group, whose servers acknowledge
+//! commits by themselves.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
     Name::new(text).unwrap()
 }
 
-/// A server as the test plays it; `None` of a report means that it is gone.
+/// A simulated backend server.
 #[derive(Clone, Copy, Debug)]
 struct Server {
     role: Role,
@@ -35,17 +36,17 @@
     state: State,
     leader: Leader,
     servers: BTreeMap<Name, Server>,
-    /// Answers on their way: when, and what.
+    /// Probes in flight: when to answer, the server and the request.
     probes: Vec<(Instant, Name, Ask)>,
     designated: Vec<(Name, u64)>,
-    /// Whether designated servers follow the order.
-    obeys: bool,
+    /// Whether designated servers become primary.
+    accepts_designation: bool,
     beats: Vec<(&'static str, u64)>,
     version: u64,
 }
 
 impl World {
-    /// A group with a primary and two replicas, kept by two entries.
+    /// Creates a group with a primary and two replicas, kept by two entries.
     fn new() -> Self {
         let leader =
             Leader::with_leadership(Instant::ZERO, Leadership { token: TOKEN, last_chosen: None });
@@ -56,7 +57,7 @@
             servers: BTreeMap::new(),
             probes: Vec::new(),
             designated: Vec::new(),
-            obeys: true,
+            accepts_designation: true,
             beats: vec![("e1", 1), ("e2", 1)],
             version: 0,
         };
@@ -134,13 +135,13 @@
             let lasting = now + Duration::from_millis(700);
             match known.state {
                 Health::Silent => self.probes.push((lasting, server, ask)),
-                Health::Refusing => self.told(server, ask, Err(ProbeError::Refused)),
+                Health::Refusing => self.record_result(server, ask, Err(ProbeError::Refused)),
                 Health::Up => {
-                    if matches!(ask, Ask::Designate { .. }) && self.obeys {
+                    if matches!(ask, Ask::Designate { .. }) && self.accepts_designation {
                         self.lead(&server);
                     }
                     let status = self.report(&server);
-                    self.told(server, ask, Ok(status));
+                    self.record_result(server, ask, Ok(status));
                 }
             }
         }
@@ -170,7 +171,7 @@
         }
     }
 
-    fn told(&mut self, server: Name, ask: Ask, result: Result<Status, ProbeError>) {
+    fn record_result(&mut self, server: Name, ask: Ask, result: Result<Status, ProbeError>) {
         self.tell(Event::Probed { group: name("g"), server, ask, result });
     }
 
@@ -191,7 +192,7 @@
         self.servers.get_mut(server).unwrap().state = state;
     }
 
-    fn stand(&mut self, server: &str, position: u64) {
+    fn set_position(&mut self, server: &str, position: u64) {
         self.servers.get_mut(server).unwrap().mark = Mark::new(1, position);
     }
 
@@ -205,7 +206,7 @@
         self.tell(Event::Symptom { entry: name(entry), symptom });
     }
 
-    /// A keeper seals, and has acknowledged up to a position.
+    /// Seals a keeper that has acknowledged up to a position.
     fn seal(&mut self, entry: &str, position: u64) {
         let term = self.state.groups["g"].term.0;
         let mark = Some(Mark::new(1, position).into());
@@ -222,7 +223,7 @@
         self.state.groups["g"].phase.clone()
     }
 
-    /// The primary's process is gone, and both keepers have noticed.
+    /// Ends the primary's process; both keepers report the refused connections.
     fn crash(&mut self) {
         self.set("s0", Health::Refusing);
         self.symptom("e1", Sight::Refused);
@@ -247,8 +248,8 @@
 #[test]
 fn chooses_the_server_that_holds_the_most() {
     let mut world = World::new();
-    world.stand("s1", 99);
-    world.stand("s2", 100);
+    world.set_position("s1", 99);
+    world.set_position("s2", 100);
     world.crash();
     world.seal("e1", 100);
     world.seal("e2", 98);
@@ -259,7 +260,7 @@
 #[test]
 fn waits_rather_than_lose_what_was_acknowledged() {
     let mut world = World::new();
-    world.stand("s1", 90);
+    world.set_position("s1", 90);
     world.set("s2", Health::Silent);
     world.crash();
     world.seal("e1", 100);
@@ -289,13 +290,13 @@
     world.crash();
     world.seal("e1", 100);
     world.beats = vec![("e1", 1)];
-    // what e2 acknowledged nobody knows; the only replica may lack it
+    // what e2 acknowledged is unknown, and the only replica may lack it
     world.commit(command::Body::Part(Part { entry: "e2".to_owned(), incarnation: 1, over: true }));
     world.pass(3_000);
     assert_eq!(world.phase(), Phase::Intended);
     world.set("s2", Health::Up);
     world.pass(1_500);
-    assert!(world.primary().is_some(), "two servers together hold all of it");
+    assert!(world.primary().is_some(), "two servers together hold all acknowledged records");
 }
 
 #[test]
@@ -305,7 +306,7 @@
     world.beats = vec![("e1", 1)];
     world.seal("e1", 100);
     world.pass(1_500);
-    assert_eq!(world.phase(), Phase::Intended, "its lease may still run");
+    assert_eq!(world.phase(), Phase::Intended, "the lease of e2 may still be in force");
     world.pass(2_500);
     assert!(world.primary().is_some());
 }
@@ -315,14 +316,14 @@
     let mut world = World::new();
     world.crash();
     world.beats = vec![("e1", 1)];
-    // the earlier leader gave it up, and a beat may have been confirmed since
+    // the earlier leader removed the entry and may have confirmed a heartbeat since
     let part = Part { entry: "e2".to_owned(), incarnation: 1, over: false };
     world.commit(command::Body::Part(part));
     world.leader =
         Leader::with_leadership(world.now, Leadership { token: TOKEN + 1, last_chosen: None });
     world.seal("e1", 100);
     world.pass(1_500);
-    assert_eq!(world.phase(), Phase::Intended, "its lease may still run");
+    assert_eq!(world.phase(), Phase::Intended, "the lease of e2 may still be in force");
     world.pass(2_500);
     assert!(world.primary().is_some());
 }
@@ -330,15 +331,15 @@
 #[test]
 fn designates_under_its_own_token_until_the_server_leads() {
     let mut world = World::new();
-    world.obeys = false;
+    world.accepts_designation = false;
     world.crash();
     world.seal("e1", 100);
     world.seal("e2", 100);
     world.pass(1_500);
-    assert!(world.designated.len() >= 2, "an order may be lost");
+    assert!(world.designated.len() >= 2, "a designation may be lost and must be repeated");
     assert!(world.designated.iter().all(|(_, token)| *token == TOKEN));
     assert_eq!(world.primary(), None);
-    world.obeys = true;
+    world.accepts_designation = true;
     world.pass(1_000);
     assert!(world.primary().is_some());
 }
@@ -346,7 +347,7 @@
 #[test]
 fn a_new_leader_lets_the_orders_of_the_old_one_run_out() {
     let mut world = World::new();
-    world.obeys = false;
+    world.accepts_designation = false;
     world.crash();
     world.seal("e1", 100);
     world.seal("e2", 100);
@@ -408,8 +409,8 @@
 #[test]
 fn takes_the_old_primary_again_when_it_alone_holds_all() {
     let mut world = World::new();
-    world.stand("s1", 90);
-    world.stand("s2", 90);
+    world.set_position("s1", 90);
+    world.set_position("s2", 90);
     world.crash();
     world.seal("e1", 100);
     world.seal("e2", 100);
--- a/components/control/tests/failover.rs
+++ b/components/control/tests/failover.rs
@@ -1,6 +1,7 @@
-//! Fuzzes the failover of a group against fake servers: what a majority held
-//! in its term is in each primary that is established later, a term has one
-//! primary, terms rise, and a group that is whole again gets a primary.
+//! Fuzzes the failover of a group against fake servers. A record that a majority
+//! held in its term is in the log of each primary that is established later, a
+//! term has one primary, terms rise, and a group gets a primary once all faults
+//! have ended.
 
 mod group;
 mod schedule;
@@ -48,7 +49,7 @@
     acked: Vec<(Mark, Record)>,
     written: u64,
     trouble: bool,
-    /// Time that a server takes for each answer.
+    /// Extra delay of each answer of a server, by index.
     slow: BTreeMap<usize, Duration>,
 }
 
@@ -126,12 +127,12 @@
     fn probe(&mut self, u: &mut Unstructured<'_>, server: &Name, ask: Ask) -> Result<()> {
         let index = self.servers.iter().position(|s| s.name == *server).unwrap();
         let epoch = self.epoch;
-        let fate = if self.trouble { u.int_in_range(0..=15u8)? } else { 0 };
+        let outcome = if self.trouble { u.int_in_range(0..=15u8)? } else { 0 };
         let wait = if ask == Ask::Status { 20 } else { 1 };
         let slow = self.slow.get(&index).copied().unwrap_or_default();
         let run = slow + Duration::from_millis(wait + u.int_in_range(0..=3)?);
         let silent = Duration::from_millis(400);
-        match fate {
+        match outcome {
             15 if ask != Ask::Status => {
                 let late = Duration::from_millis(u.int_in_range(0..=3_000)?);
                 self.at(late, Action::Run { epoch, server: index, ask, answers: false });
@@ -207,8 +208,8 @@
         Ok(Ok(()))
     }
 
-    /// Whether the established primary has all that was acknowledged before
-    /// its term.
+    /// Checks that the established primary has all records that were acknowledged
+    /// up to its term.
     fn check_lineage(&self) -> std::result::Result<(), Violation> {
         let group = &self.state.groups["g"];
         let (Phase::Settled, Some(primary)) = (&group.phase, &group.primary) else {
@@ -224,7 +225,7 @@
         Ok(())
     }
 
-    /// Moves time on by whole ticks.
+    /// Advances the time by whole ticks.
     fn pass(
         &mut self,
         u: &mut Unstructured<'_>,
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Takes reports as a keeper does, each at a time of its own.
+    /// Records reports of the servers as a keeper does, each at a random time.
     fn acknowledge(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let majority = self.servers.len() / 2 + 1;
         let mut acked = Vec::new();
@@ -370,7 +371,7 @@
         self.pass(u, ticks)
     }
 
-    /// Ends all trouble and waits for a primary that all follow.
+    /// Ends all faults and waits for a primary that all servers follow.
     fn settle(&mut self, u: &mut Unstructured<'_>) -> Result<std::result::Result<(), Violation>> {
         self.trouble = false;
         for server in &mut self.servers {
@@ -429,7 +430,7 @@
 }
 
 impl World {
-    /// A whole group with a primary, and the primary's number.
+    /// Creates a healthy group with a primary, and returns the index of the primary.
     fn calm(u: &mut Unstructured<'_>) -> Result<(Self, usize)> {
         let mut world = Self::new(3, Flaw::None);
         world.trouble = false;
@@ -456,7 +457,7 @@
     }
 }
 
-/// 99th percentile of the gap after a fault, over fixed seeds.
+/// 99th percentile of the time without a primary after a fault, over fixed seeds.
 fn p99(fault: impl Fn(&mut World, usize)) -> Duration {
     let mut gaps = Vec::new();
     for seed in 1..=200 {
--- a/components/control/tests/group/mod.rs
+++ b/components/control/tests/group/mod.rs
@@ -1,23 +1,24 @@
-//! Fake backend servers that keep the rules of `docs/GROUPS.md`.
+//! Fake backend servers that follow the rules of `docs/GROUPS.md`.
 
 use std::net::SocketAddr;
 
 use base::prelude::*;
 use control::Ask;
 
-/// A record: the term it was written in and a number of its own.
+/// A log record: the term in which it was written, and its unique number.
 pub type Record = (Term, u64);
 
-/// Time between a primary's words to its replicas.
-const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Time between two heartbeats of a primary to its replicas.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Debug)]
 pub struct Server {
     pub name: Name,
     pub address: SocketAddr,
     pub up: bool,
-    /// Cut off from control, and from the other servers.
+    /// Whether the server is partitioned from control.
     pub unheard: bool,
+    /// Whether the server is partitioned from the other servers.
     pub isolated: bool,
     pub incarnation: u64,
     pub term: Term,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Carries out a question and reports.
+    /// Executes a request and reports the status.
     pub fn answer(&mut self, now: Instant, ask: Ask) -> Status {
         self.version += 1;
         match ask {
@@ -93,7 +94,7 @@
                 }
             }
             Ask::Status | Ask::Fence(_) | Ask::Promote(_) | Ask::Follow { .. } => {}
-            Ask::Designate { .. } => panic!("servers that are fenced are never designated"),
+            Ask::Designate { .. } => panic!("servers of fenced groups are never designated"),
         }
         self.status(now)
     }
@@ -108,7 +109,7 @@
         self.up = false;
     }
 
-    /// Starts again; `keeps` tells whether it goes on in its role.
+    /// Restarts the server; `keeps` is whether it keeps its role.
     pub fn restart(&mut self, now: Instant, keeps: bool) {
         self.up = true;
         self.incarnation += 1;
@@ -121,7 +122,7 @@
     }
 }
 
-/// Copies up to `records` from each replica's primary.
+/// Copies up to `records` records to each replica from its primary.
 pub fn replicate(now: Instant, servers: &mut [Server], records: usize) {
     for at in 0..servers.len() {
         let replica = &servers[at];
@@ -147,7 +148,7 @@
     replica.log.truncate(same);
     replica.log.extend(source.iter().skip(same).take(records));
     replica.version += 1;
-    if now.since(replica.heard) >= HEARTBEAT || records > 0 {
+    if now.since(replica.heard) >= HEARTBEAT_INTERVAL || records > 0 {
         replica.heard = now;
     }
 }
--- a/components/control/tests/image.rs
+++ b/components/control/tests/image.rs
@@ -1,4 +1,4 @@
-//! What images keep of entries.
+//! Tests that images preserve entries.
 
 use control::State;
 use wire::log::{Command, Join, command};
@@ -29,7 +29,7 @@
 
 #[test]
 fn reads_an_entry_that_told_no_web_address() {
-    // an empty string takes no bytes, so this is what an older release wrote
+    // an empty string is not encoded, so the image equals that of an older release
     let state = joined("");
     let read = State::decode(&state.encode()).expect("an image");
     assert_eq!(read, state);
--- a/components/control/tests/leader.rs
+++ b/components/control/tests/leader.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a leader.
+//! Tests single decisions of a leader.
 
 use base::prelude::*;
 use control::lease::{LEASE_DURATION, LEASE_MARGIN};
@@ -222,8 +222,8 @@
     assert_eq!(world.state.groups["g"].lease("e1").unwrap().incarnation, 2);
 }
 
-/// Whether a new leader grants the shares of a start that was given up while
-/// that start may still use them.
+/// Whether a new leader grants the shares of a removed incarnation while that
+/// incarnation may still use them.
 fn grants_early(flaw: Flaw) -> bool {
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
@@ -235,8 +235,11 @@
     world.pass(LEASE_DURATION, &[("e2", 1)]);
     let early = world.state.groups["g"].lease("e2").is_some();
     world.pass(Duration::from_secs(2), &[("e2", 1)]);
-    assert!(world.state.groups["g"].lease("e2").is_some(), "it is granted in the end");
-    assert!(world.state.departed.is_empty(), "and nobody is remembered for ever");
+    assert!(
+        world.state.groups["g"].lease("e2").is_some(),
+        "the lease is granted after the old one has expired"
+    );
+    assert!(world.state.departed.is_empty(), "removed incarnations are dropped from the state");
     early
 }
 
@@ -269,7 +272,7 @@
     let sole = |incarnation| Join { sole: true, ..join("e1", incarnation, "a") };
     world.tell(Event::Joined(sole(1)));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    // an entry without a lease, that starts again at the same time
+    // an entry without a lease that restarts at the same time
     let other = |incarnation| Join { sole: true, ..join("e2", incarnation, "a") };
     world.commit(command::Body::Join(other(1)));
     world.leader = Leader::new(world.now);
@@ -286,7 +289,7 @@
     let weighs = |entry: &str, weight| Join { weight, ..join(entry, 1, "a") };
     world.tell(Event::Joined(weighs("weak", 2)));
     world.pass(Duration::from_secs(1), &[("weak", 1)]);
-    assert!(world.state.groups["g"].lease("weak").is_some(), "there is no other");
+    assert!(world.state.groups["g"].lease("weak").is_some(), "the only entry gets the lease");
     for entry in ["strong-1", "strong-2"] {
         world.tell(Event::Joined(weighs(entry, 100)));
     }
--- a/components/control/tests/leases.rs
+++ b/components/control/tests/leases.rs
@@ -1,6 +1,6 @@
-//! Fuzzes the leases: whatever entries lag behind, fall silent, restart, or
-//! leave, and whichever leader plans, what they may believe to hold of a
-//! server never passes its limit; and once all is well, all of it is granted.
+//! Fuzzes the leases. While entries lag, fall silent, restart or leave, and
+//! leaders change, the shares of a server that entries may believe to hold never
+//! exceed its limit. After all faults end, each server is granted in full.
 
 mod schedule;
 
@@ -18,7 +18,7 @@
 const SEATS: usize = 3;
 const TICK: Duration = control::leader::TICK;
 
-/// Time for which a limit still counts after the server lowered it.
+/// Time for which the old limit is still allowed after a server lowered it.
 const LOWERED: Duration = Duration::from_secs(6);
 
 #[derive(Debug)]
@@ -232,7 +232,8 @@
         Ok(())
     }
 
-    /// What a running entry does in one tick: follow, hold, beat.
+    /// Runs one tick of a running entry: applies the log, takes over its leases and
+    /// sends heartbeats.
     fn live(&mut self, u: &mut Unstructured<'_>, at: usize) -> Result<()> {
         if !self.entries[at].up {
             return Ok(());
@@ -379,7 +380,7 @@
         self.pass(u, ticks)
     }
 
-    /// Ends all trouble, and waits until all is granted.
+    /// Ends all faults, and waits until all limits are granted in full.
     fn settle(&mut self, u: &mut Unstructured<'_>) -> Result<std::result::Result<(), Violation>> {
         self.trouble = false;
         for at in 0..ENTRIES {
@@ -413,7 +414,7 @@
     }
 }
 
-/// Takes over what the entry's state grants it.
+/// Takes over the leases that the entry's state grants it.
 fn hold(entry: &mut Entry, name: &Name) {
     for (group, known) in &entry.state.groups {
         let own = known.lease(name.as_str()).filter(|l| l.incarnation == entry.incarnation);
--- a/components/control/tests/schedule/mod.rs
+++ b/components/control/tests/schedule/mod.rs
@@ -1,6 +1,7 @@
 //! Runs random schedules from fixed seeds.
 //!
-//! `TREFOIL_FUZZ_SCHEDULES` sets how many, `TREFOIL_FUZZ_SEED` runs one again.
+//! `TREFOIL_FUZZ_SCHEDULES` sets the number of schedules, `TREFOIL_FUZZ_SEED`
+//! repeats the schedule of one seed.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -11,7 +12,7 @@
 const THREADS: usize = 4;
 const BYTES: u64 = 24 << 10;
 
-/// What an oracle found to be broken.
+/// Result of a schedule: the violation that its checks found, if any.
 pub type Outcome<V> = std::result::Result<(), V>;
 
 fn setting(name: &str) -> Option<u64> {
@@ -61,7 +62,7 @@
     });
 }
 
-/// Seed of the first of `schedules` that fails.
+/// Seed of the first of `schedules` schedules that fails, if any.
 pub fn find<V>(
     schedules: u64,
     property: impl Fn(&mut Unstructured<'_>) -> Result<Outcome<V>>,
