--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -1,41 +1,42 @@
-//! The state that the control log builds, and the leader's decisions on it.
+//! The replicated control state and the decisions that the control leader takes on it.
 //!
-//! - [`state`]: what is decided; members and entries hold the same.
-//! - [`mod@apply`]: how one command changes it.
-//! - [`image`]: the whole of it as bytes.
-//! - [`leader`]: what the leading member does about it. [`lives`] and
-//!   [`renewals`] follow which entries and servers live, [`planner`] hands
-//!   out leases, and [`failover`] gives groups their primaries; [`succession`]
-//!   does so where servers acknowledge by themselves.
-//! - [`overview`]: what operators are told.
+//! - [`state`]: the replicated state; members and entries hold the same copy.
+//! - [`mod@apply`]: applies one log command to the state.
+//! - [`image`]: the state as bytes.
+//! - [`leader`]: the decisions of the leading member. [`liveness`] and
+//!   [`renewals`] track which entries and backend servers are alive, [`planner`]
+//!   assigns leases, [`failover`] selects the primaries of fenced groups, and
+//!   [`designation`] those of unfenced groups, whose servers acknowledge commits
+//!   by themselves.
+//! - [`overview`]: the status report for operators.
 
 pub mod apply;
 pub mod changes;
 pub mod choice;
 pub mod context;
-pub mod evidence;
+pub mod designation;
+pub mod detector;
 pub mod failover;
 pub mod flaw;
 pub mod image;
 pub mod leader;
 pub mod lease;
-pub mod lives;
+pub mod liveness;
 pub mod overview;
 pub mod planner;
 pub mod rendezvous;
 pub mod renewals;
 pub mod split;
 pub mod state;
-pub mod succession;
 pub mod trace;
 pub mod watch;
 
 pub use apply::{Outcome, Refusal};
 pub use changes::Answer;
-pub use context::Past;
-pub use evidence::Cause;
+pub use context::Leadership;
+pub use detector::Cause;
 pub use flaw::Flaw;
-pub use leader::{Ask, Effect, Event, Leader, Unreached};
+pub use leader::{Ask, Effect, Event, Leader, ProbeError};
 pub use overview::Overview;
 pub use state::{Entry, Group, Phase, Server, State};
 pub use trace::Trace;
--- a/components/control/tests/configuration.rs
+++ b/components/control/tests/configuration.rs
@@ -1,13 +1,13 @@
-//! Fuzzes changes of the declarations against a plain list of the accepted
-//! ones: duplicates, races on a base, invalid contents, members at different
-//! indexes, and images in the middle of it.
+//! Fuzzes changes of the declarations against a model that lists the accepted
+//! ones: duplicate changes, concurrent changes of one version, invalid content,
+//! members at different indexes, and restores from images in between.
 
 mod schedule;
 
 use std::collections::BTreeMap;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use control::changes::{Changes, KEPT};
+use control::changes::{Changes, MAX_ANSWERS};
 use control::{Answer, Outcome, State};
 use wire::log::{Command, Configure, command};
 
@@ -21,7 +21,7 @@
     State { index: u64, version: u64, due: u64 },
 }
 
-/// What the log means, kept as plainly as can be.
+/// Simple model of the answers and versions that the log must produce.
 #[derive(Default)]
 struct Oracle {
     accepted: Vec<String>,
@@ -132,10 +132,10 @@
 #[test]
 fn keeps_the_newest_answers_only() {
     let mut changes = Changes::default();
-    for version in 0..=KEPT as u64 {
+    for version in 0..=MAX_ANSWERS as u64 {
         changes.insert(version.to_string(), Answer::Conflict { version });
     }
-    assert_eq!(changes.len(), KEPT);
+    assert_eq!(changes.len(), MAX_ANSWERS);
     assert_eq!(changes.get("0"), None);
     assert_eq!(changes.get("1"), Some(&Answer::Conflict { version: 1 }));
 }
--- a/components/control/tests/failover.rs
+++ b/components/control/tests/failover.rs
@@ -1,6 +1,7 @@
-//! Fuzzes the failover of a group against fake servers: what a majority held
-//! in its term is in each primary that is established later, a term has one
-//! primary, terms rise, and a group that is whole again gets a primary.
+//! Fuzzes the failover of a group against fake servers. A record that a majority
+//! held in its term is in the log of each primary that is established later, a
+//! term has one primary, terms rise, and a group gets a primary once all faults
+//! have ended.
 
 mod group;
 mod schedule;
@@ -9,7 +10,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
-use control::{Ask, Effect, Event, Flaw, Leader, Phase, State, Unreached};
+use control::{Ask, Effect, Event, Flaw, Leader, Phase, ProbeError, State};
 use group::{Record, Server, replicate};
 use wire::control::{Sight, Symptom};
 use wire::log::{Announce, Command, Configure, command};
@@ -48,7 +49,7 @@
     acked: Vec<(Mark, Record)>,
     written: u64,
     trouble: bool,
-    /// Time that a server takes for each answer.
+    /// Extra delay of each answer of a server, by index.
     slow: BTreeMap<usize, Duration>,
 }
 
@@ -81,7 +82,7 @@
             now: Instant::ZERO,
             servers,
             state,
-            leader: Leader::flawed(Instant::ZERO, flaw),
+            leader: Leader::with_flaw(Instant::ZERO, flaw),
             epoch: 0,
             flaw,
             due: BTreeMap::new(),
@@ -126,24 +127,24 @@
     fn probe(&mut self, u: &mut Unstructured<'_>, server: &Name, ask: Ask) -> Result<()> {
         let index = self.servers.iter().position(|s| s.name == *server).unwrap();
         let epoch = self.epoch;
-        let fate = if self.trouble { u.int_in_range(0..=15u8)? } else { 0 };
+        let outcome = if self.trouble { u.int_in_range(0..=15u8)? } else { 0 };
         let wait = if ask == Ask::Status { 20 } else { 1 };
         let slow = self.slow.get(&index).copied().unwrap_or_default();
         let run = slow + Duration::from_millis(wait + u.int_in_range(0..=3)?);
         let silent = Duration::from_millis(400);
-        match fate {
+        match outcome {
             15 if ask != Ask::Status => {
                 let late = Duration::from_millis(u.int_in_range(0..=3_000)?);
                 self.at(late, Action::Run { epoch, server: index, ask, answers: false });
-                self.fail(silent, index, ask, Unreached::Silent);
+                self.fail(silent, index, ask, ProbeError::Silent);
             }
-            14 if ask != Ask::Status => self.fail(silent, index, ask, Unreached::Silent),
+            14 if ask != Ask::Status => self.fail(silent, index, ask, ProbeError::Silent),
             _ => self.at(run, Action::Run { epoch, server: index, ask, answers: true }),
         }
         Ok(())
     }
 
-    fn fail(&mut self, after: Duration, index: usize, ask: Ask, unreached: Unreached) {
+    fn fail(&mut self, after: Duration, index: usize, ask: Ask, unreached: ProbeError) {
         let (group, server) = (Name::new("g").unwrap(), self.servers[index].name.clone());
         let event = Event::Probed { group, server, ask, result: Err(unreached) };
         let epoch = self.epoch;
@@ -159,7 +160,7 @@
     ) -> Result<std::result::Result<(), Violation>> {
         let server = &mut self.servers[index];
         if !server.up || server.unheard {
-            let unreached = if server.up { Unreached::Silent } else { Unreached::Refused };
+            let unreached = if server.up { ProbeError::Silent } else { ProbeError::Refused };
             let after = if server.up { 300 } else { 1 };
             if answers {
                 self.fail(Duration::from_millis(after), index, ask, unreached);
@@ -207,8 +208,8 @@
         Ok(Ok(()))
     }
 
-    /// Whether the established primary has all that was acknowledged before
-    /// its term.
+    /// Checks that the established primary has all records that were acknowledged
+    /// up to its term.
     fn check_lineage(&self) -> std::result::Result<(), Violation> {
         let group = &self.state.groups["g"];
         let (Phase::Settled, Some(primary)) = (&group.phase, &group.primary) else {
@@ -224,7 +225,7 @@
         Ok(())
     }
 
-    /// Moves time on by whole ticks.
+    /// Advances the time by whole ticks.
     fn pass(
         &mut self,
         u: &mut Unstructured<'_>,
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Takes reports as a keeper does, each at a time of its own.
+    /// Records reports of the servers as a keeper does, each at a random time.
     fn acknowledge(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let majority = self.servers.len() / 2 + 1;
         let mut acked = Vec::new();
@@ -318,7 +319,7 @@
         }
         self.proposals.truncate(keep);
         self.epoch += 1;
-        self.leader = Leader::flawed(self.now, self.flaw);
+        self.leader = Leader::with_flaw(self.now, self.flaw);
         Ok(())
     }
 
@@ -370,7 +371,7 @@
         self.pass(u, ticks)
     }
 
-    /// Ends all trouble and waits for a primary that all follow.
+    /// Ends all faults and waits for a primary that all servers follow.
     fn settle(&mut self, u: &mut Unstructured<'_>) -> Result<std::result::Result<(), Violation>> {
         self.trouble = false;
         for server in &mut self.servers {
@@ -429,7 +430,7 @@
 }
 
 impl World {
-    /// A whole group with a primary, and the primary's number.
+    /// Creates a healthy group with a primary, and returns the index of the primary.
     fn calm(u: &mut Unstructured<'_>) -> Result<(Self, usize)> {
         let mut world = Self::new(3, Flaw::None);
         world.trouble = false;
@@ -456,7 +457,7 @@
     }
 }
 
-/// 99th percentile of the gap after a fault, over fixed seeds.
+/// 99th percentile of the time without a primary after a fault, over fixed seeds.
 fn p99(fault: impl Fn(&mut World, usize)) -> Duration {
     let mut gaps = Vec::new();
     for seed in 1..=200 {
@@ -538,7 +539,7 @@
     let run = |u: &mut Unstructured<'_>| {
         let (mut world, primary) = World::calm(u)?;
         let name = world.servers[primary].name.clone();
-        let mut announce = world.state.servers[&name].announce(&name);
+        let mut announce = world.state.servers[&name].to_announce(&name);
         announce.leaving = true;
         let index = world.state.index + 1;
         world.state.apply(index, &wrap(command::Body::Announce(announce)));
