--- a/components/entry/src/keep/follow.rs
+++ b/components/entry/src/keep/follow.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use control::{Phase, State};
 use keeper::event::Server;
-use keeper::{Event, Lease, Setup, Solo};
+use keeper::{Event, Lease, Setup, Unfenced};
 use wire::log;
 
 use super::shard::{Shard, Stand};
@@ -80,7 +80,7 @@
             .filter(|_| solo.is_none() || settled)
             .and_then(|group| group.primary.clone()),
         servers: seats.filter_map(|seat| server(state, lease, seat, solo.is_some())).collect(),
-        solo: solo.map(|group| Solo { term: group.term, index: state.index }),
+        unfenced: solo.map(|group| Unfenced { term: group.term, index: state.index }),
         lease: match lease {
             None => Lease::None,
             Some(lease) if lease.returning => Lease::Returning,
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -134,7 +134,7 @@
     fn drop(&mut self) {
         lock(&self.host.fronts.links).remove(&self.front);
         for shard in self.host.shards() {
-            shard.feed(Event::Gone { front: self.front });
+            shard.feed(Event::Disconnected { front: self.front });
         }
     }
 }
--- a/components/entry/src/keep/metrics.rs
+++ b/components/entry/src/keep/metrics.rs
@@ -54,7 +54,7 @@
         match count {
             Count::ReplicaRead => self.replica_reads.inc(),
             Count::PrimaryRead(cause) => self.primary_read(cause),
-            Count::Repeat => self.repeats.inc(),
+            Count::Retry => self.repeats.inc(),
             Count::Opened => self.opened.inc(),
         };
     }
--- a/components/entry/src/keep/plain.rs
+++ b/components/entry/src/keep/plain.rs
@@ -11,7 +11,7 @@
 
 use base::prelude::*;
 use bytes::{Bytes, BytesMut};
-use keeper::{Connection, Event, Kind, Piece, Reported, Trouble};
+use keeper::{Connection, Event, Kind, Outage, Piece, Reported};
 use plain::{Access, Dialect, Fault, Order, Reply, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -85,11 +85,11 @@
     let io = match opened {
         Ok(Ok(io)) => io,
         Ok(Err(report)) => {
-            shard.feed(Event::Unreached { server, trouble: Trouble::Refused });
+            shard.feed(Event::Unreachable { server, outage: Outage::Refused });
             return Err(report);
         }
         Err(_elapsed) => {
-            shard.feed(Event::Unreached { server, trouble: Trouble::Silent });
+            shard.feed(Event::Unreachable { server, outage: Outage::Silent });
             return Err(Report::new(Failure::Timeout));
         }
     };
@@ -109,12 +109,12 @@
         Ok(mark) => mark,
         Err(report) => {
             let trouble = match report.current_context() {
-                Failure::Timeout => Some(Trouble::Silent),
+                Failure::Timeout => Some(Outage::Silent),
                 Failure::Refused => None,
-                Failure::Io | Failure::Disorder => Some(Trouble::Refused),
+                Failure::Io | Failure::Disorder => Some(Outage::Refused),
             };
             if let Some(trouble) = trouble {
-                shard.feed(Event::Unreached { server, trouble });
+                shard.feed(Event::Unreachable { server, outage: trouble });
             }
             return Err(report);
         }
--- a/components/entry/src/keep/probe.rs
+++ b/components/entry/src/keep/probe.rs
@@ -8,7 +8,7 @@
 use backend::probe::Failure;
 use backend::sql::Probe;
 use base::prelude::*;
-use keeper::{Event, Trouble};
+use keeper::{Event, Outage};
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -91,7 +91,7 @@
             Err(report) => {
                 *probe = None;
                 if let Some(trouble) = trouble(*report.current_context()) {
-                    shard.feed(Event::Unreached { server: self.server.clone(), trouble });
+                    shard.feed(Event::Unreachable { server: self.server.clone(), outage: trouble });
                 }
                 Answer::Failed
             }
@@ -114,10 +114,10 @@
     }
 }
 
-fn trouble(failure: Failure) -> Option<Trouble> {
+fn trouble(failure: Failure) -> Option<Outage> {
     match failure {
-        Failure::Refused => Some(Trouble::Refused),
-        Failure::Timeout => Some(Trouble::Silent),
+        Failure::Refused => Some(Outage::Refused),
+        Failure::Timeout => Some(Outage::Silent),
         Failure::Broken | Failure::Rejected | Failure::Malformed => None,
     }
 }
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn is_over(&self) -> bool {
-        lock(&self.inner).group.is_over()
+        lock(&self.inner).group.is_drained()
     }
 
     /// Feeds an event and carries out what follows.
@@ -143,7 +143,7 @@
     }
 
     fn set_probers(self: &Arc<Self>, tools: &mut Tools, setup: &Setup) {
-        tools.solo = setup.solo.is_some();
+        tools.solo = setup.unfenced.is_some();
         if tools.stopped || tools.solo || setup.lease == Lease::None {
             tools.probers.clear();
             return;
@@ -232,7 +232,7 @@
                 self.host.view.seal(wire::control::Seal { group, term: term.0, mark, index });
             }
             Effect::Wake(at) => drop(self.wake.send_replace(at)),
-            Effect::GiveUp => self.host.view.give_up(self.name.clone()),
+            Effect::ReleaseLease => self.host.view.give_up(self.name.clone()),
             Effect::Count(count) => self.host.metrics.count(count),
             Effect::Log(ended) => self.log_end(&ended),
         }
--- a/components/keeper/src/intake.rs
+++ b/components/keeper/src/admission.rs
@@ -10,10 +10,10 @@
 use crate::service::Service;
 
 /// Time after which it is worth asking again when the lease is lost.
-const LEASE_RETRY: Duration = Duration::from_millis(500);
+const LEASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Time after which it is worth asking again when the queue is full.
-pub(crate) const QUEUE_RETRY: Duration = Duration::from_millis(200);
+pub(crate) const QUEUE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Why a request is not taken.
 struct Refusal {
@@ -34,7 +34,7 @@
 
 impl Group {
     pub(crate) fn run(&mut self, now: Instant, front: Front, run: Run, out: &mut Vec<Effect>) {
-        if self.numbers.contains_key(&(front, run.request)) {
+        if self.by_number.contains_key(&(front, run.request)) {
             return;
         }
         let owner = (front, run.caller);
@@ -53,9 +53,9 @@
         };
         let number = run.request;
         let key = self.requests.insert(Request::new(now, front, service, run));
-        self.numbers.insert((front, number), key);
+        self.by_number.insert((front, number), key);
         if let Some(service) = self.services.get_mut(service) {
-            service.open += 1;
+            service.open_requests += 1;
             service.budget.earn();
         }
         self.enqueue(now, key, pinned);
@@ -84,7 +84,7 @@
         }
         if request.is_read() {
             request.stage = Stage::Parked;
-            self.want_for(now, key);
+            self.request_sample_for(now, key);
             self.park_or_queue(now, key);
             return;
         }
@@ -107,7 +107,7 @@
     }
 
     pub(crate) fn credit(&mut self, front: Front, request: u64, bytes: u64, out: &mut Vec<Effect>) {
-        let Some(key) = self.numbers.get(&(front, request)).copied() else {
+        let Some(key) = self.by_number.get(&(front, request)).copied() else {
             return;
         };
         let Some(request) = self.requests.get_mut(key) else {
@@ -128,7 +128,7 @@
         request: u64,
         out: &mut Vec<Effect>,
     ) {
-        let Some(key) = self.numbers.get(&(front, request)).copied() else {
+        let Some(key) = self.by_number.get(&(front, request)).copied() else {
             return;
         };
         match self.requests.get(key).map(|request| request.stage) {
@@ -170,7 +170,7 @@
             return;
         };
         request.orphan = true;
-        self.numbers.remove(&(request.front, request.run.request));
+        self.by_number.remove(&(request.front, request.run.request));
         match request.stage {
             Stage::Running(_) | Stage::Marking(_) => {
                 request.attempt.held.clear();
@@ -199,23 +199,23 @@
             return Err(refusal);
         }
         let key = self.service(&run.service).ok_or_else(|| Refusal::new(Reason::Refused))?;
-        let full = |service: &Service| service.open >= service.limits.queue;
+        let full = |service: &Service| service.open_requests >= service.limits.queue;
         if !run.within && self.services.get(key).is_none_or(full) {
-            return Err(Refusal::after(Reason::QueueFull, QUEUE_RETRY));
+            return Err(Refusal::after(Reason::QueueFull, QUEUE_RETRY_AFTER));
         }
         Ok(key)
     }
 
     /// The service of a name; none is made that is not declared.
     fn service(&mut self, name: &str) -> Option<Key<Service>> {
-        if let Some(key) = self.names.get(name) {
+        if let Some(key) = self.services_by_name.get(name) {
             return Some(*key);
         }
         let (name, _, _) = self.declarations.limits(name)?;
         let mut service = Service::new(name.clone());
         service.update(&self.name, &self.declarations, &self.servers);
         let key = self.services.insert(service);
-        self.names.insert(name.clone(), key);
+        self.services_by_name.insert(name.clone(), key);
         Some(key)
     }
 
@@ -227,7 +227,7 @@
             return Some(Refusal::new(Reason::WrongKeeper));
         }
         if !self.leased {
-            return Some(Refusal::after(Reason::Lease, LEASE_RETRY));
+            return Some(Refusal::after(Reason::Lease, LEASE_RETRY_AFTER));
         }
         let opens = self.declarations.opens(&run.service, self.name.as_str());
         (!opens).then(|| Refusal::new(Reason::Refused))
@@ -238,7 +238,7 @@
             return Some(Refusal::new(Reason::TransactionGone));
         };
         let idle = matches!(conn.work, Work::Pinned(_));
-        let waits = pinned.is_some_and(|conn| self.is_awaited(conn));
+        let waits = pinned.is_some_and(|conn| self.has_waiting_request(conn));
         if idle && !waits {
             return None;
         }
@@ -246,7 +246,7 @@
         Some(Refusal { status: conn.status, ..Refusal::new(Reason::QueueFull) })
     }
 
-    fn is_awaited(&self, conn: Key<Connection>) -> bool {
+    fn has_waiting_request(&self, conn: Key<Connection>) -> bool {
         let server = self.conns.get(conn).and_then(|conn| self.servers.get(conn.server));
         let waits = |key: &Key<Request>| {
             self.requests.get(*key).is_some_and(|request| request.stage == Stage::Urgent(conn))
--- a/components/keeper/src/conn.rs
+++ b/components/keeper/src/conn.rs
@@ -11,7 +11,7 @@
 pub(crate) const IDLE: u8 = b'I';
 
 /// Status byte of ReadyForQuery in a transaction.
-pub(crate) const OPEN: u8 = b'T';
+pub(crate) const IN_TRANSACTION: u8 = b'T';
 
 /// A caller, by its link and session.
 pub(crate) type Owner = (Front, u64);
@@ -62,7 +62,7 @@
     /// It is being closed; a statement may still run on it at the server.
     Closing {
         /// Whether one ran when it was told to close.
-        runs: bool,
+        uses_slot: bool,
     },
 }
 
@@ -86,10 +86,13 @@
     }
 
     /// Whether it takes one of the server's slots; a mark takes none.
-    pub(crate) fn runs(&self) -> bool {
+    pub(crate) fn uses_slot(&self) -> bool {
         matches!(
             self.work,
-            Work::Busy(_) | Work::Sampling(_) | Work::RollingBack(_) | Work::Closing { runs: true }
+            Work::Busy(_)
+                | Work::Sampling(_)
+                | Work::RollingBack(_)
+                | Work::Closing { uses_slot: true }
         )
     }
 }
--- a/components/keeper/src/cycle.rs
+++ b/components/keeper/src/cycle.rs
@@ -5,9 +5,9 @@
 use wire::data::{Class, Outcome, Part, Reason};
 
 use crate::conn::{Connection, IDLE, Origin, Work};
-use crate::event::{Effect, Kind, Piece, Trouble};
+use crate::event::{Effect, Kind, Outage, Piece};
 use crate::group::Group;
-use crate::request::{HELD_BYTES, Over, Request, Stage};
+use crate::request::{Completion, MAX_HELD_BYTES, Request, Stage};
 
 /// What ReadyForQuery closed a cycle with.
 #[derive(Clone, Copy, Debug)]
@@ -24,8 +24,8 @@
         conn.work = Work::Idle(now);
         if let Some(server) = self.servers.get_mut(conn.server) {
             server.failures = 0;
-            if self.solo.is_some() {
-                server.trouble = None;
+            if self.unfenced.is_some() {
+                server.outage = None;
             }
         }
     }
@@ -43,28 +43,28 @@
                 server.connect_at = now + wait;
             }
             if !conn.is_closing() {
-                server.distrusted = now;
+                server.distrusted_at = now;
             }
         }
         match conn.work {
-            Work::Busy(request) | Work::Marking(request) => self.broke(now, request, out),
+            Work::Busy(request) | Work::Marking(request) => self.connection_lost(now, request, out),
             _ => self.drop_urgent(now, key, out),
         }
     }
 
-    pub(crate) fn unreached(
+    pub(crate) fn unreachable(
         &mut self,
         now: Instant,
         name: &Name,
-        trouble: Trouble,
+        outage: Outage,
         out: &mut Vec<Effect>,
     ) {
         let Some(server) = self.server_named(name).and_then(|key| self.servers.get_mut(key)) else {
             return;
         };
-        server.trouble = Some(trouble);
-        server.distrusted = now;
-        self.watch(now, out);
+        server.outage = Some(outage);
+        server.distrusted_at = now;
+        self.report_health(now, out);
     }
 
     pub(crate) fn piece(
@@ -80,7 +80,7 @@
         let key = match connection.work {
             Work::Busy(key) => key,
             Work::RollingBack(_) | Work::Closing { .. } => return,
-            _ => return self.cut(now, conn, out),
+            _ => return self.abort_conn(now, conn, out),
         };
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -117,9 +117,9 @@
         };
         request.attempt.held_bytes += piece.bytes.len();
         request.attempt.held.push_back(piece.bytes);
-        if request.attempt.held_bytes > HELD_BYTES {
+        if request.attempt.held_bytes > MAX_HELD_BYTES {
             self.finish(now, key, Outcome::Unknown, Reason::TooLarge, out);
-            self.shut(conn, out);
+            self.close_conn(conn, out);
         }
     }
 
@@ -139,13 +139,13 @@
             Work::RollingBack(_) if status == IDLE && !failed => {
                 connection.work = Work::Idle(now);
             }
-            Work::Busy(key) => self.cycle_over(now, conn, key, Ready { status, failed }, out),
+            Work::Busy(key) => self.cycle_ended(now, conn, key, Ready { status, failed }, out),
             Work::Closing { .. } => {}
-            _ => self.cut(now, conn, out),
+            _ => self.abort_conn(now, conn, out),
         }
     }
 
-    fn cycle_over(
+    fn cycle_ended(
         &mut self,
         now: Instant,
         conn: Key<Connection>,
@@ -156,12 +156,12 @@
         let Ready { status, failed } = ready;
         self.resume_conn(conn, out);
         let Some(request) = self.requests.get_mut(key) else {
-            return self.cut(now, conn, out);
+            return self.abort_conn(now, conn, out);
         };
         let (service, owner, orphan) = (request.service, request.owner(), request.orphan);
-        let holds = request.holds();
+        let holds = request.holds_answer();
         let attempt = &mut request.attempt;
-        attempt.over = Some(Over { at: now, failed });
+        attempt.completion = Some(Completion { at: now, failed });
         attempt.status = if attempt.primary { status } else { IDLE };
         attempt.durable = attempt.primary && (attempt.committed || (holds && status == IDLE));
         let (durable, primary, term) = (attempt.durable, attempt.primary, attempt.term);
@@ -170,19 +170,19 @@
         if status == IDLE {
             self.unpin(conn);
             if durable && !orphan {
-                return self.ask_mark(conn, key, out);
+                return self.request_mark(conn, key, out);
             }
-            self.rest(now, conn);
+            self.release_conn(now, conn);
         } else if primary && !orphan {
             self.pin(now, conn, owner, Origin { term, primary }, service);
         } else {
             self.unpin(conn);
             self.roll_back(now, conn, out);
         }
-        self.judge_over(now, key, out);
+        self.complete_request(now, key, out);
     }
 
-    fn ask_mark(&mut self, conn: Key<Connection>, key: Key<Request>, out: &mut Vec<Effect>) {
+    fn request_mark(&mut self, conn: Key<Connection>, key: Key<Request>, out: &mut Vec<Effect>) {
         if let Some(connection) = self.conns.get_mut(conn) {
             connection.work = Work::Marking(key);
         }
@@ -193,17 +193,17 @@
     }
 
     /// Ends a request whose cycle is over, or lets it wait for a majority.
-    fn judge_over(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
+    fn complete_request(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        if request.orphan || !(request.attempt.durable || request.attempt.verify.is_some()) {
+        if request.orphan || !(request.attempt.durable || request.attempt.verify_since.is_some()) {
             return self.finish(now, key, Outcome::Done, Reason::None, out);
         }
         request.stage = Stage::Acking;
-        self.open.push(key);
-        self.sampling.want(now);
-        self.settle(now, out);
+        self.unresolved.push(key);
+        self.sampling.request_since(now);
+        self.resolve(now, out);
     }
 
     pub(crate) fn marked(
@@ -217,9 +217,9 @@
         let key = match work {
             Some(Work::Marking(key)) => key,
             Some(Work::Closing { .. }) | None => return,
-            Some(_) => return self.cut(now, conn, out),
+            Some(_) => return self.abort_conn(now, conn, out),
         };
-        self.rest(now, conn);
+        self.release_conn(now, conn);
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -227,33 +227,38 @@
             return self.finish(now, key, Outcome::Done, Reason::None, out);
         }
         if let Some(server) = request.attempt.server.and_then(|key| self.servers.get_mut(key)) {
-            server.marked = server.marked.max(mark);
+            server.last_mark = server.last_mark.max(mark);
         }
         if mark.term == request.attempt.term {
-            request.attempt.hi = Some(mark);
+            request.attempt.mark_after = Some(mark);
             request.stage = Stage::Acking;
         } else {
-            request.attempt.broken = Some(now);
-            request.attempt.over = None;
+            request.attempt.lost_at = Some(now);
+            request.attempt.completion = None;
             request.stage = Stage::Doubt;
         }
-        self.open.push(key);
-        self.settle(now, out);
+        self.unresolved.push(key);
+        self.resolve(now, out);
     }
 
     /// Closes a connection in the middle: something came out of order on it, or
     /// its primary was replaced.
-    pub(crate) fn cut(&mut self, now: Instant, conn: Key<Connection>, out: &mut Vec<Effect>) {
+    pub(crate) fn abort_conn(
+        &mut self,
+        now: Instant,
+        conn: Key<Connection>,
+        out: &mut Vec<Effect>,
+    ) {
         let work = self.conns.get(conn).map(|conn| conn.work);
-        self.shut(conn, out);
+        self.close_conn(conn, out);
         self.drop_urgent(now, conn, out);
         if let Some(Work::Busy(request) | Work::Marking(request)) = work {
-            self.broke(now, request, out);
+            self.connection_lost(now, request, out);
         }
     }
 
     /// Decides on a request whose connection broke.
-    fn broke(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
+    fn connection_lost(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -264,23 +269,23 @@
             return self.finish(now, key, Outcome::NotRun, Reason::TransactionGone, out);
         }
         let read = request.class == Class::Read && !request.run.within;
-        if self.solo.is_some() && !read {
+        if self.unfenced.is_some() && !read {
             // no history tells what became of it
             return self.finish(now, key, Outcome::Unknown, Reason::Broken, out);
         }
         if read || !request.attempt.primary {
-            request.ran = true;
-            if !self.again(now, key, out) {
+            request.may_have_run = true;
+            if !self.retry(now, key, out) {
                 self.finish(now, key, Outcome::Unknown, Reason::Broken, out);
             }
             return;
         }
-        request.attempt.broken = Some(now);
+        request.attempt.lost_at = Some(now);
         request.attempt.status = IDLE;
         request.stage = Stage::Doubt;
-        self.open.push(key);
-        self.sampling.want(now);
-        self.settle(now, out);
+        self.unresolved.push(key);
+        self.sampling.request_since(now);
+        self.resolve(now, out);
     }
 
     /// Ends requests that waited for a connection that is gone.
--- a/components/keeper/src/pump.rs
+++ b/components/keeper/src/dispatch.rs
@@ -13,24 +13,24 @@
 use crate::service::Service;
 
 /// Idle connections kept beyond the number of slots.
-const WARM: u32 = 1;
+const SPARE_CONNECTIONS: u32 = 1;
 
 /// Connections of one server that are opened at once.
-const OPENING: u32 = 4;
+const MAX_OPENING: u32 = 4;
 
 /// Time after which an idle connection beyond the warm ones is closed.
 const IDLE_LIMIT: Duration = Duration::from_secs(10);
 
 impl Group {
     /// Sends what can be sent and keeps connections ahead of need.
-    pub(crate) fn pump(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    pub(crate) fn dispatch(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let servers: Vec<_> = self.servers.iter().map(|(key, _)| key).collect();
         for server in &servers {
-            self.pump_urgent(now, *server, out);
+            self.dispatch_urgent(now, *server, out);
         }
         if self.may_start() {
-            self.pump_primary(now, out);
-            self.pump_replicas(now, out);
+            self.dispatch_primary(now, out);
+            self.dispatch_replicas(now, out);
         }
         for server in &servers {
             self.connect(now, *server, out);
@@ -39,8 +39,8 @@
     }
 
     /// Statements of open transactions go ahead of all else.
-    fn pump_urgent(&mut self, now: Instant, key: Key<Server>, out: &mut Vec<Effect>) {
-        while self.free_slots(key).max(self.least_slots(key)) > 0 {
+    fn dispatch_urgent(&mut self, now: Instant, key: Key<Server>, out: &mut Vec<Effect>) {
+        while self.free_slots(key).max(self.min_slots(key)) > 0 {
             let next = self.servers.get_mut(key).and_then(|server| server.urgent.pop_front());
             let Some(request) = next else {
                 return;
@@ -63,12 +63,12 @@
     }
 
     /// A transaction can finish also where the slots were taken away.
-    fn least_slots(&self, key: Key<Server>) -> u32 {
+    fn min_slots(&self, key: Key<Server>) -> u32 {
         let shared = self.servers.get(key).is_some_and(|server| server.slots > 0);
         u32::from(!shared && self.running(key) == 0)
     }
 
-    fn pump_primary(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn dispatch_primary(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let Some((server, term)) = self.usable_primary(now) else {
             return;
         };
@@ -110,7 +110,7 @@
         Verdict::Take
     }
 
-    fn pump_replicas(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn dispatch_replicas(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let ready = |key| self.ready_slots(key) > 0;
         if self.lanes.replica.is_empty() || !self.servers.iter().any(|(key, _)| ready(key)) {
             return;
@@ -160,19 +160,19 @@
         let Some(server) = self.conns.get(conn).map(|conn| conn.server) else {
             return;
         };
-        let attempt = self.attempt(now, key, conn, server, mark);
+        let attempt = self.new_attempt(now, key, conn, server, mark);
         let (Some(request), Some(connection)) =
             (self.requests.get_mut(key), self.conns.get_mut(conn))
         else {
             return;
         };
-        if let Some(since) = attempt.verify {
-            self.sampling.want(since);
+        if let Some(since) = attempt.verify_since {
+            self.sampling.request_since(since);
         }
         connection.work = Work::Busy(key);
         request.attempt = attempt;
         request.stage = Stage::Running(conn);
-        let wait = mark.filter(|_| self.solo.is_some() && !request.attempt.primary);
+        let wait = mark.filter(|_| self.unfenced.is_some() && !request.attempt.primary);
         out.push(Effect::Send { conn, bytes: request.run.payload.clone(), wait });
         if request.is_read() {
             let count = if request.attempt.primary {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn attempt(
+    fn new_attempt(
         &self,
         now: Instant,
         key: Key<Request>,
@@ -206,24 +206,25 @@
         {
             attempt.incarnation = status.incarnation;
             attempt.term = status.term;
-            let marked = Some(server.marked).filter(|marked| marked.term == status.term);
-            attempt.lo = status.received.max(marked.map_or(Position(0), |m| m.position));
+            let marked = Some(server.last_mark).filter(|marked| marked.term == status.term);
+            attempt.position_before =
+                status.received.max(marked.map_or(Position(0), |m| m.position));
         }
         let pinned = self.conns.get(conn).filter(|_| request.run.within);
         if let Some(pinned) = pinned.filter(|pinned| pinned.term != attempt.term) {
             attempt.term = pinned.term;
-            attempt.lo = Position::default();
+            attempt.position_before = Position::default();
         }
         let leads = self.primary().is_some_and(|(key, _)| key == server);
         attempt.primary = leads || pinned.is_some_and(|pinned| pinned.primary);
-        if let Some(solo) = &self.solo {
-            attempt.index = solo.index;
+        if let Some(unfenced) = &self.unfenced {
+            attempt.index = unfenced.index;
             return attempt;
         }
         if attempt.primary && !request.run.within {
             let blind = request.class != Class::Read && request.floor.is_none();
-            let since = if blind { Some(request.arrived) } else { request.since(now) };
-            attempt.verify = since;
+            let since = if blind { Some(request.arrived) } else { request.sampled_since(now) };
+            attempt.verify_since = since;
         }
         attempt
     }
@@ -232,27 +233,27 @@
     /// reached: no work goes there before, so nothing else would tell that it
     /// can be.
     fn connect(&mut self, now: Instant, key: Key<Server>, out: &mut Vec<Effect>) {
-        if !self.keeps_idle(key) {
+        if !self.may_keep_idle(key) {
             return;
         }
         let Some(server) = self.servers.get(key) else {
             return;
         };
-        if now < server.connect_at || !(self.is_solo() || server.answers(now)) {
+        if now < server.connect_at || !(self.is_unfenced() || server.is_responsive(now)) {
             return;
         }
-        let (limit, warm) = (server.connections, server.slots + WARM);
+        let (limit, warm) = (server.connections, server.slots + SPARE_CONNECTIONS);
         let (name, address) = (server.name.clone(), server.address);
-        let probes = self.is_solo() && server.trouble.is_some();
+        let probes = self.is_unfenced() && server.outage.is_some();
         let opening = self.conns.iter().filter(|(_, conn)| conn.server == key);
         let mut opening = opening.filter(|(_, conn)| conn.work == Work::Opening).count() as u32;
-        if probes && opening == 0 && self.standing(key) >= limit {
-            return self.make_room(key, out);
+        if probes && opening == 0 && self.connection_count(key) >= limit {
+            return self.close_idle(key, out);
         }
         let wanted = |group: &Self, opening| {
-            (probes && opening == 0) || (group.count_idle(key) < warm && opening < OPENING)
+            (probes && opening == 0) || (group.idle_count(key) < warm && opening < MAX_OPENING)
         };
-        while self.standing(key) < limit && wanted(self, opening) {
+        while self.connection_count(key) < limit && wanted(self, opening) {
             let conn = self.conns.insert(Connection::new(key));
             out.push(Effect::Connect { conn, server: name.clone(), address });
             opening += 1;
@@ -260,9 +261,9 @@
     }
 
     /// Closes an idle connection, so that another may be opened.
-    fn make_room(&mut self, server: Key<Server>, out: &mut Vec<Effect>) {
+    fn close_idle(&mut self, server: Key<Server>, out: &mut Vec<Effect>) {
         if let Some(conn) = self.idle(server) {
-            self.shut(conn, out);
+            self.close_conn(conn, out);
         }
     }
 
@@ -271,21 +272,21 @@
         let Some(server) = self.servers.get(key) else {
             return;
         };
-        let (limit, warm) = (server.connections, server.slots + WARM);
-        let keeps = self.keeps_idle(key);
+        let (limit, warm) = (server.connections, server.slots + SPARE_CONNECTIONS);
+        let keeps = self.may_keep_idle(key);
         let idle = self.conns.iter().filter_map(|(conn, connection)| match connection.work {
             Work::Idle(since) if connection.server == key => Some((since, conn)),
             _ => None,
         });
         let mut idle: Vec<_> = idle.collect();
         idle.sort_unstable();
-        let (mut standing, mut ready) = (self.standing(key), self.count_idle(key));
+        let (mut standing, mut ready) = (self.connection_count(key), self.idle_count(key));
         for (since, conn) in idle {
             let old = ready > warm && now.since(since) > IDLE_LIMIT;
             if keeps && standing <= limit && !old {
                 break;
             }
-            self.shut(conn, out);
+            self.close_conn(conn, out);
             standing -= 1;
             ready -= 1;
         }
@@ -300,6 +301,6 @@
         } else {
             charge(&mut self.lanes.replica);
         }
-        self.typical = (self.typical * 7 + run) / 8;
+        self.typical_run_time = (self.typical_run_time * 7 + run) / 8;
     }
 }
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -50,7 +50,7 @@
         caller: u64,
     },
     /// A link has gone, and all its callers.
-    Gone {
+    Disconnected {
         /// The link.
         front: Front,
     },
@@ -103,11 +103,11 @@
         sent: Instant,
     },
     /// A server gave no report.
-    Unreached {
+    Unreachable {
         /// The server.
         server: Name,
         /// Why.
-        trouble: Trouble,
+        outage: Outage,
     },
     /// Servers, leases or declarations changed.
     Setup(Setup),
@@ -155,7 +155,7 @@
 /// Why a server gave no report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Trouble {
+pub enum Outage {
     /// It refuses connections.
     Refused,
     /// It did not answer.
@@ -177,12 +177,12 @@
     pub declarations: Arc<Declarations>,
     /// Set where the servers acknowledge by themselves. The primary is then
     /// `None` while a change of it is under way.
-    pub solo: Option<Solo>,
+    pub unfenced: Option<Unfenced>,
 }
 
 /// What the control log says of a group whose servers acknowledge by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Solo {
+pub struct Unfenced {
     /// Term that is intended or established.
     pub term: Term,
     /// Index of the control log that this stands at.
@@ -312,7 +312,7 @@
     /// Tick at this time.
     Wake(Instant),
     /// The lease is given up: no connection is left.
-    GiveUp,
+    ReleaseLease,
     /// Count something.
     Count(Count),
     /// Log the end of a request that was not done, or not at the first try.
@@ -360,7 +360,7 @@
     /// The primary served a read.
     PrimaryRead(Cause),
     /// A request was tried again.
-    Repeat,
+    Retry,
     /// A connection was opened.
     Opened,
 }
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -3,18 +3,18 @@
 use base::prelude::*;
 use wire::data::{End, Outcome, Part, Reason};
 
-use crate::conn::{Connection, IDLE, OPEN, Origin, Owner, Work};
+use crate::admission::QUEUE_RETRY_AFTER;
+use crate::conn::{Connection, IDLE, IN_TRANSACTION, Origin, Owner, Work};
 use crate::event::{Count, Effect, Ended};
-use crate::fault::Fault;
+use crate::flaw::Flaw;
 use crate::group::Group;
-use crate::intake::QUEUE_RETRY;
 use crate::request::{Attempt, Lane, Request, Stage};
 
 /// Time in which a rollback must be confirmed.
-const ROLLBACK: Duration = Duration::from_secs(1);
+const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after which it is worth asking again when no server could be used.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Group {
     /// Ends a request. What was held back goes out only if it is done.
@@ -26,8 +26,8 @@
         reason: Reason,
         out: &mut Vec<Effect>,
     ) {
-        let outcome = self.honest(key, outcome);
-        self.explain(now, key, outcome, reason, out);
+        let outcome = self.reportable_outcome(key, outcome);
+        self.log_end(now, key, outcome, reason, out);
         let end = self.end(now, key, outcome, reason);
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -48,7 +48,7 @@
     }
 
     /// Tells the log of an end that a caller may ask about.
-    fn explain(
+    fn log_end(
         &self,
         now: Instant,
         key: Key<Request>,
@@ -75,8 +75,8 @@
             tries: request.tries,
             waited,
             sent: server.map(|_| now.since(attempt.sent_at)),
-            term: self.solo.as_ref().map_or(attempt.term, |solo| solo.term),
-            led: self.named.is_some(),
+            term: self.unfenced.as_ref().map_or(attempt.term, |unfenced| unfenced.term),
+            led: self.control_primary.is_some(),
             leased: self.leased,
             version: request.run.version,
             sample: self.ring.last().map(|sample| now.since(sample.taken)),
@@ -85,8 +85,8 @@
 
     /// What may be told of a request: that it was not run, or that it failed,
     /// only where no earlier try may have run.
-    fn honest(&self, key: Key<Request>, outcome: Outcome) -> Outcome {
-        let ran = self.requests.get(key).filter(|request| request.ran);
+    fn reportable_outcome(&self, key: Key<Request>, outcome: Outcome) -> Outcome {
+        let ran = self.requests.get(key).filter(|request| request.may_have_run);
         match outcome {
             Outcome::NotRun if ran.is_some() => Outcome::Unknown,
             Outcome::Done if ran.is_some_and(Request::is_failed) => Outcome::Unknown,
@@ -109,8 +109,8 @@
         let attempt = &request.attempt;
         let done = outcome == Outcome::Done;
         let status = if done { attempt.status } else { self.status_of(request) };
-        let seen = match (attempt.primary, &self.solo) {
-            (true, _) => attempt.hi,
+        let seen = match (attempt.primary, &self.unfenced) {
+            (true, _) => attempt.mark_after,
             // a read says nothing of what the session must see later
             (false, Some(_)) => None,
             (false, None) => attempt.mark,
@@ -118,8 +118,8 @@
         let mark = if done { seen.max(request.floor) } else { None };
         let server = attempt.server.and_then(|server| self.servers.get(server));
         let retry_after = match reason {
-            Reason::Deadline | Reason::Replaced | Reason::Unavailable => RETRY_AFTER,
-            Reason::QueueFull => QUEUE_RETRY,
+            Reason::Deadline | Reason::Replaced | Reason::Unavailable => UNAVAILABLE_RETRY_AFTER,
+            Reason::QueueFull => QUEUE_RETRY_AFTER,
             _ => Duration::ZERO,
         };
         let reason = match reason {
@@ -170,19 +170,19 @@
             return;
         };
         if let Some(service) = self.services.get_mut(request.service) {
-            service.open = service.open.saturating_sub(1);
+            service.open_requests = service.open_requests.saturating_sub(1);
         }
         if request.orphan {
             return;
         }
-        self.numbers.remove(&(request.front, request.run.request));
+        self.by_number.remove(&(request.front, request.run.request));
         if let Some(end) = request.end {
             out.push(Effect::End { front: request.front, end: End { parts, ..end } });
         }
     }
 
     /// Lets a request be tried again, if none of its answer went out.
-    pub(crate) fn again(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) -> bool {
+    pub(crate) fn retry(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) -> bool {
         let Some(request) = self.requests.get_mut(key) else {
             return false;
         };
@@ -197,24 +197,24 @@
         request.tries += 1;
         request.attempt = Attempt { status: IDLE, ..Attempt::default() };
         request.stage = Stage::Backoff(now + wait);
-        out.push(Effect::Count(Count::Repeat));
+        out.push(Effect::Count(Count::Retry));
         true
     }
 
     /// Takes what time brings: deadlines, waits that are over, idle transactions.
     pub(crate) fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
         self.expire(now, out);
-        self.wake_repeats(now, out);
+        self.requeue_retries(now, out);
         self.expire_conns(now, out);
-        self.settle(now, out);
+        self.resolve(now, out);
         self.unpark(now);
-        self.relieve(now);
-        self.stalled(now, out);
-        self.watch(now, out);
+        self.spill_to_primary(now);
+        self.abort_stalled(now, out);
+        self.report_health(now, out);
     }
 
     fn expire(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let typical = self.typical;
+        let typical = self.typical_run_time;
         let hopeless = |request: &Request| match request.stage {
             Stage::Draining => false,
             Stage::Running(_) | Stage::Marking(_) | Stage::Acking | Stage::Doubt => {
@@ -249,11 +249,11 @@
         self.finish(now, key, outcome, Reason::Deadline, out);
         if let Stage::Running(conn) | Stage::Marking(conn) = stage {
             out.push(Effect::Cancel { conn });
-            self.shut(conn, out);
+            self.close_conn(conn, out);
         }
     }
 
-    fn wake_repeats(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn requeue_retries(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let due = self
             .requests
             .iter()
@@ -269,11 +269,11 @@
     }
 
     fn expire_conns(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let lingered = self.lingered(now);
+        let lingered = self.is_grace_over(now);
         let keys: Vec<_> = self.conns.iter().map(|(key, conn)| (key, conn.work)).collect();
         for (key, work) in keys {
             match work {
-                Work::RollingBack(until) if until <= now => self.shut(key, out),
+                Work::RollingBack(until) if until <= now => self.close_conn(key, out),
                 Work::Pinned(since) if lingered || now.since(since) > self.idle_limit(key) => {
                     self.abandon(now, key, out);
                 }
@@ -323,29 +323,30 @@
     }
 
     /// Gives a connection back to all.
-    pub(crate) fn rest(&mut self, now: Instant, key: Key<Connection>) {
+    pub(crate) fn release_conn(&mut self, now: Instant, key: Key<Connection>) {
         if let Some(conn) = self.conns.get_mut(key) {
             conn.work = Work::Idle(now);
         }
     }
 
     pub(crate) fn roll_back(&mut self, now: Instant, key: Key<Connection>, out: &mut Vec<Effect>) {
-        let early = self.breaks(Fault::EarlyReuse);
+        let early = self.has_flaw(Flaw::EarlyReuse);
         if let Some(conn) = self.conns.get_mut(key) {
-            conn.work = if early { Work::Idle(now) } else { Work::RollingBack(now + ROLLBACK) };
-            conn.status = OPEN;
+            conn.work =
+                if early { Work::Idle(now) } else { Work::RollingBack(now + ROLLBACK_TIMEOUT) };
+            conn.status = IN_TRANSACTION;
             out.push(Effect::RollBack { conn: key });
         }
         self.drop_urgent(now, key, out);
     }
 
     /// Closes a connection; it counts until the host says that it is closed.
-    pub(crate) fn shut(&mut self, key: Key<Connection>, out: &mut Vec<Effect>) {
+    pub(crate) fn close_conn(&mut self, key: Key<Connection>, out: &mut Vec<Effect>) {
         self.unpin(key);
         let Some(conn) = self.conns.get_mut(key).filter(|conn| !conn.is_closing()) else {
             return;
         };
-        conn.work = Work::Closing { runs: conn.runs() };
+        conn.work = Work::Closing { uses_slot: conn.uses_slot() };
         out.push(Effect::Close { conn: key });
     }
 
--- a/components/keeper/src/fault.rs
+++ b/components/keeper/src/flaw.rs
@@ -3,7 +3,7 @@
 /// A rule that is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumIter, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Fault {
+pub enum Flaw {
     /// Acknowledge once the primary alone holds a write.
     PrimaryAlone,
     /// Compare positions without their terms.
--- a/components/keeper/src/group.rs
+++ b/components/keeper/src/group.rs
@@ -11,13 +11,13 @@
 
 use crate::conn::{Connection, Owner, Work};
 use crate::event::{Effect, Event, Front, Lease};
-use crate::fault::Fault;
+use crate::flaw::Flaw;
 use crate::health::Health;
 use crate::reads::Sampling;
 use crate::request::Request;
 use crate::server::Server;
 use crate::service::Service;
-use crate::solo::Solo;
+use crate::unfenced::Unfenced;
 
 /// Time between ticks while something is open.
 const TICK: Duration = Duration::from_millis(10);
@@ -43,36 +43,36 @@
     pub(crate) zone: Name,
     pub(crate) declared: u32,
     /// Primary that the control log names.
-    pub(crate) named: Option<Name>,
+    pub(crate) control_primary: Option<Name>,
     pub(crate) lease: Lease,
     pub(crate) leased: bool,
     pub(crate) closing: bool,
     /// When the group was told to finish.
-    pub(crate) finish_from: Option<Instant>,
-    pub(crate) given_up: bool,
+    pub(crate) closing_since: Option<Instant>,
+    pub(crate) lease_released: bool,
     pub(crate) declarations: Arc<Declarations>,
     pub(crate) servers: Arena<Server>,
     pub(crate) conns: Arena<Connection>,
     pub(crate) requests: Arena<Request>,
-    pub(crate) numbers: HashMap<(Front, u64), Key<Request>>,
+    pub(crate) by_number: HashMap<(Front, u64), Key<Request>>,
     pub(crate) pins: HashMap<Owner, Key<Connection>>,
     pub(crate) services: Arena<Service>,
-    pub(crate) names: BTreeMap<Name, Key<Service>>,
+    pub(crate) services_by_name: BTreeMap<Name, Key<Service>>,
     pub(crate) lanes: Lanes,
     /// Requests in stage parked.
     pub(crate) parked: Vec<Key<Request>>,
     /// Requests that wait for reports: acknowledgement or settlement.
-    pub(crate) open: Vec<Key<Request>>,
+    pub(crate) unresolved: Vec<Key<Request>>,
     pub(crate) ring: Ring,
     pub(crate) sampling: Sampling,
     pub(crate) health: Health,
     pub(crate) backoff: Backoff,
     /// Usual run time of a cycle.
-    pub(crate) typical: Duration,
+    pub(crate) typical_run_time: Duration,
     wake_at: Instant,
-    fault: Option<Fault>,
+    flaw: Option<Flaw>,
     /// Set where the servers acknowledge by themselves.
-    pub(crate) solo: Option<Solo>,
+    pub(crate) unfenced: Option<Unfenced>,
 }
 
 impl Group {
@@ -82,46 +82,46 @@
             name,
             zone,
             declared: 0,
-            named: None,
+            control_primary: None,
             lease: Lease::None,
             leased: false,
             closing: false,
-            finish_from: None,
-            given_up: false,
+            closing_since: None,
+            lease_released: false,
             declarations: Arc::default(),
             servers: Arena::new(),
             conns: Arena::new(),
             requests: Arena::new(),
-            numbers: HashMap::new(),
+            by_number: HashMap::new(),
             pins: HashMap::new(),
             services: Arena::new(),
-            names: BTreeMap::new(),
+            services_by_name: BTreeMap::new(),
             lanes: Lanes::default(),
             parked: Vec::new(),
-            open: Vec::new(),
+            unresolved: Vec::new(),
             ring: Ring::default(),
             sampling: Sampling::default(),
             health: Health::default(),
             backoff: Backoff::new(BACKOFF.0, BACKOFF.1, seed),
-            typical: Duration::from_millis(1),
+            typical_run_time: Duration::from_millis(1),
             wake_at: Instant::ZERO,
-            fault: None,
-            solo: None,
+            flaw: None,
+            unfenced: None,
         }
     }
 
     /// Breaks a rule.
     #[cfg(feature = "fault")]
-    pub fn break_rule(&mut self, fault: Fault) {
-        self.fault = Some(fault);
+    pub fn inject_flaw(&mut self, flaw: Flaw) {
+        self.flaw = Some(flaw);
     }
 
-    pub(crate) fn breaks(&self, fault: Fault) -> bool {
-        cfg!(feature = "fault") && self.fault == Some(fault)
+    pub(crate) fn has_flaw(&self, flaw: Flaw) -> bool {
+        cfg!(feature = "fault") && self.flaw == Some(flaw)
     }
 
     /// Whether no request is open and no connection stands.
-    pub fn is_over(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.requests.is_empty() && self.conns.is_empty()
     }
 
@@ -137,7 +137,7 @@
             Event::Credit { front, request, bytes } => self.credit(front, request, bytes, out),
             Event::Cancel { front, request } => self.cancel(now, front, request, out),
             Event::Leave { front, caller } => self.leave(now, front, Some(caller), out),
-            Event::Gone { front } => self.leave(now, front, None, out),
+            Event::Disconnected { front } => self.leave(now, front, None, out),
             Event::Opened { conn } => self.opened(now, conn),
             Event::Closed { conn } => self.closed(now, conn, out),
             Event::Piece { conn, piece } => self.piece(now, conn, piece, out),
@@ -145,16 +145,16 @@
             Event::Reported { conn, reported } => self.reported(now, conn, reported, out),
             Event::Marked { conn, mark } => self.marked(now, conn, mark, out),
             Event::Status { status, sent } => self.status(now, status, sent, out),
-            Event::Unreached { server, trouble } => self.unreached(now, &server, trouble, out),
+            Event::Unreachable { server, outage } => self.unreachable(now, &server, outage, out),
             Event::Setup(setup) => self.set_up(now, setup, out),
             Event::Leased(leased) => self.set_leased(now, leased, out),
             Event::Close => self.close(now, out),
             Event::Tick => self.tick(now, out),
         }
-        self.pump(now, out);
+        self.dispatch(now, out);
         self.sample(now, out);
         self.seal(now, out);
-        self.give_up(out);
+        self.release_lease(out);
         self.wake(now, out);
     }
 
@@ -174,23 +174,23 @@
 
     /// The server of the highest term that calls itself a primary, and its term.
     pub(crate) fn primary(&self) -> Option<(Key<Server>, Term)> {
-        if self.is_solo() {
-            return self.named_primary();
+        if self.is_unfenced() {
+            return self.control_named_primary();
         }
         let primaries = self.servers.iter().filter_map(|(key, server)| {
             let status = server.status().filter(|status| status.role == Role::Primary)?;
-            server.seated.then_some((key, status.term))
+            server.configured.then_some((key, status.term))
         });
         primaries.max_by_key(|(_, term)| *term)
     }
 
     /// The primary, if new work may go to it.
     pub(crate) fn usable_primary(&self, now: Instant) -> Option<(Key<Server>, Term)> {
-        if self.is_solo() {
-            return self.usable_named(now);
+        if self.is_unfenced() {
+            return self.usable_control_primary(now);
         }
         let (key, term) = self.primary()?;
-        let open = self.servers.get(key).is_some_and(|server| server.is_open(now));
+        let open = self.servers.get(key).is_some_and(|server| server.is_available(now));
         let statuses = self.servers.iter().filter_map(|(_, server)| server.status());
         let above = statuses.filter(|status| status.term > term).count();
         let possible = (self.declared as usize).saturating_sub(above) >= self.majority();
@@ -199,7 +199,7 @@
 
     /// Statements that run on a server.
     pub(crate) fn running(&self, server: Key<Server>) -> u32 {
-        let on = self.conns.iter().filter(|(_, conn)| conn.server == server && conn.runs());
+        let on = self.conns.iter().filter(|(_, conn)| conn.server == server && conn.uses_slot());
         on.count() as u32
     }
 
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -5,37 +5,38 @@
 //! connection broke. It holds no socket: the host feeds it [`Event`]s and
 //! carries out its [`Effect`]s.
 //!
-//! - `intake`: requests, credit and callers that leave.
+//! - `admission`: requests, credit and callers that leave.
 //! - `reads`: verified samples and the choice of a replica.
-//! - `pump`: what is sent next, and how many connections stand open.
+//! - `dispatch`: what is sent next, and how many connections stand open.
 //! - `cycle`: what connections report.
-//! - `settle`: acknowledgement, and requests in doubt.
+//! - `resolve`: acknowledgement, and requests in doubt.
 //! - `finish`: ends of requests, and repeats.
 //! - `health`: symptoms of a primary.
-//! - `solo`: groups whose servers acknowledge by themselves.
+//! - `unfenced`: groups whose servers acknowledge by themselves.
 
+mod admission;
 mod conn;
 mod cycle;
+mod dispatch;
 pub mod event;
-mod fault;
 mod finish;
+mod flaw;
 mod group;
 mod health;
-mod intake;
-mod load;
-mod pump;
 mod reads;
 mod request;
+mod resolve;
 mod server;
 mod service;
-mod settle;
 mod setup;
-mod solo;
+mod shedding;
+mod unfenced;
 
 pub use conn::Connection;
 pub use event::{
-    Cause, Count, Effect, Ended, Event, Front, Kind, Lease, Piece, Reported, Setup, Solo, Trouble,
+    Cause, Count, Effect, Ended, Event, Front, Kind, Lease, Outage, Piece, Reported, Setup,
+    Unfenced,
 };
 #[cfg(feature = "fault")]
-pub use fault::Fault;
+pub use flaw::Flaw;
 pub use group::Group;
--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -5,20 +5,21 @@
 use smallvec::SmallVec;
 
 use crate::event::{Cause, Effect};
-use crate::fault::Fault;
+use crate::flaw::Flaw;
 use crate::group::Group;
 use crate::request::{Lane, Request, Stage};
-use crate::server::{Seen, Server};
-use crate::solo::{self, shows_soon};
+use crate::server::{Report, Server};
+use crate::unfenced::{self, will_show_soon};
 
 /// Time after which a round of samples is given up.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Time that samples go on after the last read that accepts an age.
-const AGE_TRAFFIC: Duration = Duration::from_secs(5);
+const BACKGROUND_SAMPLING: Duration = Duration::from_secs(5);
 
 /// Least and longest time between background samples.
-const AGE_STEP: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(100));
+const SAMPLE_INTERVAL: (Duration, Duration) =
+    (Duration::from_millis(10), Duration::from_millis(100));
 
 /// Time a read waits for a busy replica before an idle primary serves it.
 const BUSY_PATIENCE: Duration = Duration::from_millis(100);
@@ -27,30 +28,30 @@
 #[derive(Debug, Default)]
 pub(crate) struct Sampling {
     /// A sample taken at or after this is awaited.
-    wanted: Instant,
+    requested_since: Instant,
     /// Start of the round that is under way.
     round: Option<Instant>,
     /// The youngest sample.
     pub(crate) verified: Option<Sample>,
-    age_until: Instant,
+    age_reads_until: Instant,
     age: Duration,
 }
 
 impl Sampling {
     pub(crate) fn is_busy(&self, now: Instant) -> bool {
-        self.round.is_some() || now < self.age_until
+        self.round.is_some() || now < self.age_reads_until
     }
 
     /// Asks for a sample taken at or after `since`.
-    pub(crate) fn want(&mut self, since: Instant) {
-        self.wanted = self.wanted.max(since);
+    pub(crate) fn request_since(&mut self, since: Instant) {
+        self.requested_since = self.requested_since.max(since);
     }
 
     /// Notes a read that accepts an age.
     pub(crate) fn note_age(&mut self, now: Instant, age: Duration) {
-        let known = if now < self.age_until { self.age } else { age };
+        let known = if now < self.age_reads_until { self.age } else { age };
         self.age = known.min(age);
-        self.age_until = now + AGE_TRAFFIC;
+        self.age_reads_until = now + BACKGROUND_SAMPLING;
     }
 
     /// Whether a sample taken at or after `since` is there.
@@ -59,18 +60,18 @@
     }
 
     /// Whether reads that accept an age lack a sample younger than a part of it.
-    pub(crate) fn wants_solo(&self, now: Instant, part: u32) -> bool {
+    pub(crate) fn needs_sample(&self, now: Instant, part: u32) -> bool {
         let asked = self.round.is_some_and(|round| now.since(round) <= ROUND_TIMEOUT);
-        now < self.age_until && !asked && !self.covers(now - self.age / part)
+        now < self.age_reads_until && !asked && !self.covers(now - self.age / part)
     }
 
     /// Notes that a primary was asked where it stands.
-    pub(crate) fn asked_solo(&mut self, now: Instant) {
+    pub(crate) fn note_requested(&mut self, now: Instant) {
         self.round = Some(now);
     }
 
     /// Whether a round is to start now.
-    fn starts(&mut self, now: Instant) -> bool {
+    fn start_round(&mut self, now: Instant) -> bool {
         if let Some(round) = self.round {
             let open = !self.covers(round) && now.since(round) <= ROUND_TIMEOUT;
             if open {
@@ -78,9 +79,9 @@
             }
             self.round = None;
         }
-        let wanted = self.wanted > Instant::ZERO && !self.covers(self.wanted);
-        let step = (self.age / 4).clamp(AGE_STEP.0, AGE_STEP.1);
-        let aged = now < self.age_until && !self.covers(now - step);
+        let wanted = self.requested_since > Instant::ZERO && !self.covers(self.requested_since);
+        let step = (self.age / 4).clamp(SAMPLE_INTERVAL.0, SAMPLE_INTERVAL.1);
+        let aged = now < self.age_reads_until && !self.covers(now - step);
         if wanted || aged {
             self.round = Some(now);
         }
@@ -90,15 +91,15 @@
 
 impl Group {
     /// Notes which samples a read needs.
-    pub(crate) fn want_for(&mut self, now: Instant, key: Key<Request>) {
+    pub(crate) fn request_sample_for(&mut self, now: Instant, key: Key<Request>) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        if request.is_fresh() && self.solo.is_some() {
+        if request.is_fresh() && self.unfenced.is_some() {
             return;
         }
         if request.is_fresh() {
-            self.sampling.want(request.arrived);
+            self.sampling.request_since(request.arrived);
         } else if request.run.age_ms > 0 {
             self.sampling.note_age(now, Duration::from_millis(request.run.age_ms));
         }
@@ -106,13 +107,13 @@
 
     /// Starts a round of samples if one is due.
     pub(crate) fn sample(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        if self.is_solo() {
-            return self.sample_solo(now, out);
+        if self.is_unfenced() {
+            return self.sample_unfenced(now, out);
         }
-        if !self.sampling.starts(now) {
+        if !self.sampling.start_round(now) {
             return;
         }
-        let seated = self.servers.iter().filter(|(_, server)| server.seated);
+        let seated = self.servers.iter().filter(|(_, server)| server.configured);
         out.extend(seated.map(|(_, server)| Effect::Sample { server: server.name.clone() }));
     }
 
@@ -121,30 +122,30 @@
         let Some(sample) = self.verified_sample() else {
             return;
         };
-        if !self.sampling.covers(sample.taken) || !self.same_term(sample) {
+        if !self.sampling.covers(sample.taken) || !self.is_same_term(sample) {
             self.sampling.verified = Some(sample);
             self.ring.push(sample);
         }
     }
 
-    fn same_term(&self, sample: Sample) -> bool {
+    fn is_same_term(&self, sample: Sample) -> bool {
         self.sampling.verified.is_some_and(|known| known.mark.term == sample.mark.term)
     }
 
     /// The primary's position, and since when a majority stands in its term.
     fn verified_sample(&self) -> Option<Sample> {
         let (key, term) = self.primary()?;
-        let primary = self.servers.get(key)?.seen.as_ref()?;
+        let primary = self.servers.get(key)?.report.as_ref()?;
         let mark = Mark { term, position: primary.status.received };
-        if self.breaks(Fault::Unverified) {
-            return Some(Sample { taken: primary.sent, mark });
+        if self.has_flaw(Flaw::Unverified) {
+            return Some(Sample { taken: primary.requested_at, mark });
         }
-        let seen = self.servers.iter().filter_map(|(_, server)| server.seen.as_ref());
+        let seen = self.servers.iter().filter_map(|(_, server)| server.report.as_ref());
         let mut sent: Vec<_> =
-            seen.filter(|seen| seen.status.term == term).map(|seen| seen.sent).collect();
+            seen.filter(|seen| seen.status.term == term).map(|seen| seen.requested_at).collect();
         sent.sort_unstable_by(|a, b| b.cmp(a));
         let taken = sent.get(self.majority() - 1)?;
-        Some(Sample { taken: primary.sent.min(*taken), mark })
+        Some(Sample { taken: primary.requested_at.min(*taken), mark })
     }
 
     /// Moves parked reads on whose server is clear.
@@ -177,18 +178,18 @@
 
     /// Where a parked read is to queue, once that is clear.
     fn lane(&self, now: Instant, request: &Request) -> Option<(Lane, Cause)> {
-        if self.is_solo() {
-            return Some((self.lane_solo(now, request)?, Cause::Busy));
+        if self.is_unfenced() {
+            return Some((self.unfenced_lane(now, request)?, Cause::Busy));
         }
         if self.qualified(now, request).next().is_some() {
             return Some((Lane::Replica, Cause::Busy));
         }
-        let since = request.since(now);
+        let since = request.sampled_since(now);
         let sampled = since.is_none_or(|since| self.sampling.covers(since));
         let replica = self.replicas(now, request).next().is_some();
         let patience = Duration::from_millis(request.run.patience_ms);
         let patient = replica && now < request.arrived + patience;
-        if !sampled || patient || !self.reaches_primary(request) {
+        if !sampled || patient || !self.can_reach_primary(request) {
             return None;
         }
         let aged = request.run.age_ms > 0 && !request.is_fresh();
@@ -200,7 +201,7 @@
         Some((if aged { Lane::Spare } else { Lane::Primary }, cause))
     }
 
-    fn reaches_primary(&self, request: &Request) -> bool {
+    fn can_reach_primary(&self, request: &Request) -> bool {
         let service = self.services.get(request.service);
         let reaches = |key| service.is_some_and(|service| service.reaches(key));
         self.primary().is_none_or(|(key, _)| reaches(key))
@@ -211,15 +212,15 @@
         &self,
         now: Instant,
         request: &Request,
-    ) -> impl Iterator<Item = (Key<Server>, &Server, &Seen)> {
+    ) -> impl Iterator<Item = (Key<Server>, &Server, &Report)> {
         let service = self.services.get(request.service);
         let primary = self.primary().map(|(key, _)| key);
         self.servers.iter().filter_map(move |(key, server)| {
-            let seen = server.seen.as_ref()?;
-            let solo = self.is_solo();
-            let trusted = seen.sent > server.distrusted || solo;
-            let usable = server.is_open(now) && !server.expired && trusted;
-            let replica = Some(key) != primary && (solo || seen.status.role == Role::Replica);
+            let seen = server.report.as_ref()?;
+            let unfenced = self.is_unfenced();
+            let trusted = seen.requested_at > server.distrusted_at || unfenced;
+            let usable = server.is_available(now) && !server.expired && trusted;
+            let replica = Some(key) != primary && (unfenced || seen.status.role == Role::Replica);
             let reached = service.is_some_and(|service| service.reaches(key));
             (usable && replica && reached).then_some((key, server, seen))
         })
@@ -231,11 +232,11 @@
         now: Instant,
         request: &Request,
     ) -> impl Iterator<Item = (Key<Server>, &Server, Option<Mark>)> {
-        let need = Need { floor: request.floor, since: request.since(now) };
-        let solo = self.is_solo().then(|| self.need(now, request));
+        let need = Need { floor: request.floor, since: request.sampled_since(now) };
+        let unfenced = self.is_unfenced().then(|| self.need(now, request));
         self.replicas(now, request).filter_map(move |(key, server, seen)| {
-            let mark = match solo {
-                Some(solo::Need::Mark(mark)) if shows_soon(now, server, mark) => Some(mark),
+            let mark = match unfenced {
+                Some(unfenced::Need::Mark(mark)) if will_show_soon(now, server, mark) => Some(mark),
                 Some(_) => return None,
                 None => qualify(&seen.status, need, &self.ring)?,
             };
@@ -251,14 +252,14 @@
     ) -> impl Iterator<Item = Candidate<Key<Server>>> {
         let candidate = |(key, server, mark): (Key<Server>, &Server, Option<Mark>)| Candidate {
             server: key,
-            near: server.zone == self.zone && !self.is_solo(),
+            near: server.zone == self.zone && !self.is_unfenced(),
             free: if now < server.full_until { 0 } else { self.ready_slots(key) },
             waiting: server.urgent.len() as u32,
             mark,
         };
         let found: SmallVec<[_; 4]> = self.qualified(now, request).map(candidate).collect();
         let busy = found.iter().all(|candidate| candidate.free == 0);
-        let spare = if busy && self.is_solo() { self.spare_primary(now) } else { None };
+        let spare = if busy && self.is_unfenced() { self.spare_primary(now) } else { None };
         found
             .into_iter()
             .chain(spare.and_then(|key| Some(candidate((key, self.servers.get(key)?, None)))))
@@ -267,7 +268,7 @@
     /// The primary, while nothing waits that only it may do, and within this
     /// keeper's share: others must find the slots of theirs.
     fn spare_primary(&self, now: Instant) -> Option<Key<Server>> {
-        let (key, _) = self.usable_named(now)?;
+        let (key, _) = self.usable_control_primary(now)?;
         let room = self.running(key) < self.spare_slots(key);
         (room && !self.awaits_primary()).then_some(key)
     }
@@ -290,8 +291,8 @@
     }
 
     /// Moves reads that waited long for a busy replica to an idle primary.
-    pub(crate) fn relieve(&mut self, now: Instant) {
-        if !self.lanes.primary.is_empty() || self.lanes.replica.is_empty() || self.is_solo() {
+    pub(crate) fn spill_to_primary(&mut self, now: Instant) {
+        if !self.lanes.primary.is_empty() || self.lanes.replica.is_empty() || self.is_unfenced() {
             return;
         }
         let long = |request: &Request| {
--- a/components/keeper/src/request.rs
+++ b/components/keeper/src/request.rs
@@ -12,10 +12,10 @@
 use crate::service::Service;
 
 /// Most bytes of one answer that are held back.
-pub(crate) const HELD_BYTES: usize = 1 << 20;
+pub(crate) const MAX_HELD_BYTES: usize = 1 << 20;
 
 /// Part of a request's time that is kept for its run at most.
-const MARGIN_SHARE: u32 = 10;
+const MARGIN_DIVISOR: u32 = 10;
 
 /// Which queue a request stands in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,7 +82,7 @@
     pub(crate) cause: Cause,
     pub(crate) tries: u32,
     /// An earlier try may have run.
-    pub(crate) ran: bool,
+    pub(crate) may_have_run: bool,
     /// Nobody waits for its answer any more.
     pub(crate) orphan: bool,
     pub(crate) window: u64,
@@ -93,7 +93,7 @@
 
 /// The end of a cycle.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Over {
+pub(crate) struct Completion {
     pub(crate) at: Instant,
     /// Whether the server answered with an error.
     pub(crate) failed: bool,
@@ -112,19 +112,19 @@
     pub(crate) index: u64,
     pub(crate) sent_at: Instant,
     /// Last known position of the primary before it was sent.
-    pub(crate) lo: Position,
+    pub(crate) position_before: Position,
     /// Position of the primary after its cycle.
-    pub(crate) hi: Option<Mark>,
+    pub(crate) mark_after: Option<Mark>,
     /// How its cycle ended, once it has.
-    pub(crate) over: Option<Over>,
+    pub(crate) completion: Option<Completion>,
     /// When its connection broke.
-    pub(crate) broken: Option<Instant>,
+    pub(crate) lost_at: Option<Instant>,
     /// Whether a COMMIT came.
     pub(crate) committed: bool,
     /// Whether it is released only once a majority holds `hi`.
     pub(crate) durable: bool,
     /// It is released only once a sample taken since then is verified.
-    pub(crate) verify: Option<Instant>,
+    pub(crate) verify_since: Option<Instant>,
     pub(crate) held: VecDeque<Bytes>,
     pub(crate) held_bytes: usize,
     /// Status byte that closed the cycle.
@@ -146,7 +146,7 @@
             stage: Stage::Parked,
             cause: Cause::NoReplica,
             tries: 0,
-            ran: false,
+            may_have_run: false,
             orphan: false,
             window: run.window,
             parts: 0,
@@ -172,19 +172,19 @@
     }
 
     /// Whether its answer is held back from the first complete statement on.
-    pub(crate) fn holds(&self) -> bool {
+    pub(crate) fn holds_answer(&self) -> bool {
         self.attempt.primary && (!self.run.within || self.run.commits)
     }
 
     /// Whether the last try ended with an error of the server.
     pub(crate) fn is_failed(&self) -> bool {
-        self.attempt.over.is_some_and(|over| over.failed)
+        self.attempt.completion.is_some_and(|over| over.failed)
     }
 
     /// Time before its deadline from which it is not worth sending, given the
     /// usual run time: slow statements of others take little of a short deadline.
     pub(crate) fn margin(&self, typical: Duration) -> Duration {
-        typical.min(self.deadline.since(self.arrived) / MARGIN_SHARE)
+        typical.min(self.deadline.since(self.arrived) / MARGIN_DIVISOR)
     }
 
     /// Whether it must see all that was acknowledged before it came.
@@ -193,7 +193,7 @@
     }
 
     /// Samples taken from then on are young enough; none if the floor is.
-    pub(crate) fn since(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn sampled_since(&self, now: Instant) -> Option<Instant> {
         if self.is_fresh() {
             return Some(self.arrived);
         }
@@ -207,7 +207,7 @@
         if !attempt.primary {
             return false;
         }
-        let due = if self.holds() { Kind::Complete } else { Kind::Commit };
+        let due = if self.holds_answer() { Kind::Complete } else { Kind::Commit };
         !attempt.held.is_empty() || piece.kind >= due
     }
 }
--- a/components/keeper/src/settle.rs
+++ b/components/keeper/src/resolve.rs
@@ -6,7 +6,7 @@
 
 use crate::conn::Work;
 use crate::event::Effect;
-use crate::fault::Fault;
+use crate::flaw::Flaw;
 use crate::group::Group;
 use crate::request::{Attempt, Request, Stage};
 use crate::server::Server;
@@ -31,36 +31,36 @@
             return;
         };
         if let Some(server) = self.servers.get_mut(key) {
-            server.see(now, status, sent);
+            server.record_status(now, status, sent);
         }
         self.verify();
         self.unpark(now);
-        self.cut_replaced(now, out);
-        self.settle(now, out);
+        self.abort_replaced(now, out);
+        self.resolve(now, out);
     }
 
     /// Ends all requests whose outcome the reports make clear.
-    pub(crate) fn settle(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        if self.open.is_empty() {
+    pub(crate) fn resolve(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        if self.unresolved.is_empty() {
             return;
         }
         let established = self.established();
-        let open = std::mem::take(&mut self.open);
+        let open = std::mem::take(&mut self.unresolved);
         for key in open {
             let stage = self.requests.get(key).map(|request| request.stage);
             if !matches!(stage, Some(Stage::Acking | Stage::Doubt)) {
                 continue;
             }
-            self.refine(key);
-            match self.judge(key, established.as_ref()) {
-                None => self.open.push(key),
-                Some((outcome, reason)) => self.conclude(now, key, outcome, reason, out),
+            self.update_attempt(key);
+            match self.determine_outcome(key, established.as_ref()) {
+                None => self.unresolved.push(key),
+                Some((outcome, reason)) => self.apply_outcome(now, key, outcome, reason, out),
             }
         }
     }
 
     /// Notes what newer reports tell of a request that waits.
-    fn refine(&mut self, key: Key<Request>) {
+    fn update_attempt(&mut self, key: Key<Request>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -69,46 +69,49 @@
         let covered = |since: Instant| {
             sample.is_some_and(|s| s.taken >= since && s.mark.term == attempt.term)
         };
-        if attempt.verify.is_some_and(covered) {
-            attempt.verify = None;
+        if attempt.verify_since.is_some_and(covered) {
+            attempt.verify_since = None;
         }
         let seen = attempt.server.and_then(|server| self.servers.get(server));
-        let Some(seen) = seen.and_then(|server| server.seen.as_ref()) else {
+        let Some(seen) = seen.and_then(|server| server.report.as_ref()) else {
             return;
         };
         // a later position of the same primary bounds the cycle as a mark does
-        if let (None, Some(over)) = (attempt.hi, attempt.over)
+        if let (None, Some(over)) = (attempt.mark_after, attempt.completion)
             && attempt.durable
-            && seen.sent > over.at
-            && is_same(attempt, &seen.status)
+            && seen.requested_at > over.at
+            && is_same_primary(attempt, &seen.status)
         {
-            attempt.hi = Some(Mark { term: attempt.term, position: seen.status.received });
+            attempt.mark_after = Some(Mark { term: attempt.term, position: seen.status.received });
         }
     }
 
-    fn judge(
+    fn determine_outcome(
         &self,
         key: Key<Request>,
         established: Option<&Established>,
     ) -> Option<(Outcome, Reason)> {
         let request = self.requests.get(key)?;
         let attempt = &request.attempt;
-        if self.breaks(Fault::Resend) && request.stage == Stage::Doubt {
+        if self.has_flaw(Flaw::Resend) && request.stage == Stage::Doubt {
             return Some((Outcome::NotRun, Reason::Broken));
         }
-        let held = attempt.hi.is_some_and(|hi| self.is_held(attempt.server, hi));
-        if attempt.over.is_some() && (held || !attempt.durable) && attempt.verify.is_none() {
+        let held = attempt.mark_after.is_some_and(|hi| self.is_held(attempt.server, hi));
+        if attempt.completion.is_some()
+            && (held || !attempt.durable)
+            && attempt.verify_since.is_none()
+        {
             return Some((Outcome::Done, Reason::None));
         }
         let later = established.filter(|found| found.term > attempt.term);
         if let Some(established) = later.filter(|found| self.is_current(attempt, found)) {
             // where the server leads again, a try without an end may still run
-            let lives = attempt.over.is_none() && attempt.server == Some(established.primary);
+            let lives = attempt.completion.is_none() && attempt.server == Some(established.primary);
             let reason = if lives { Reason::Broken } else { Reason::Replaced };
-            return Some((by_history(attempt, established), reason));
+            return Some((outcome_by_history(attempt, established), reason));
         }
-        let open_end = attempt.hi.is_none() && attempt.over.is_none();
-        if open_end && self.outlived(attempt) {
+        let open_end = attempt.mark_after.is_none() && attempt.completion.is_none();
+        if open_end && self.has_primary_continued(attempt) {
             return Some((Outcome::Unknown, Reason::Broken));
         }
         None
@@ -117,8 +120,8 @@
     /// Whether no term beyond the established one had begun when the try ended.
     /// Else the try may have run in such a term, unless a mark names its own.
     fn is_current(&self, attempt: &Attempt, established: &Established) -> bool {
-        let ended = attempt.broken.or(attempt.over.map(|over| over.at));
-        let Some(ended) = ended.filter(|_| attempt.hi.is_none()) else {
+        let ended = attempt.lost_at.or(attempt.completion.map(|over| over.at));
+        let Some(ended) = ended.filter(|_| attempt.mark_after.is_none()) else {
             return true;
         };
         let sample = self.sampling.verified;
@@ -126,12 +129,12 @@
     }
 
     /// Whether the request's primary went on after the connection broke.
-    fn outlived(&self, attempt: &Attempt) -> bool {
+    fn has_primary_continued(&self, attempt: &Attempt) -> bool {
         let server = attempt.server.and_then(|server| self.servers.get(server));
-        let Some(seen) = server.and_then(|server| server.seen.as_ref()) else {
+        let Some(seen) = server.and_then(|server| server.report.as_ref()) else {
             return false;
         };
-        let after = attempt.broken.is_some_and(|broken| seen.sent > broken);
+        let after = attempt.lost_at.is_some_and(|broken| seen.requested_at > broken);
         let primary = seen.status.role == Role::Primary && seen.status.term == attempt.term;
         after && primary
     }
@@ -139,7 +142,7 @@
     /// Whether a majority holds a mark, the primary that wrote it among them.
     fn is_held(&self, primary: Option<Key<Server>>, mark: Mark) -> bool {
         let holds = |status: &Status| {
-            let termless = self.breaks(Fault::Termless) && status.received >= mark.position;
+            let termless = self.has_flaw(Flaw::Termless) && status.received >= mark.position;
             termless || status.holds(mark)
         };
         let own = primary.and_then(|key| self.servers.get(key)).and_then(Server::status);
@@ -148,7 +151,7 @@
         }
         let statuses = self.servers.iter().filter_map(|(_, server)| server.status());
         let count = statuses.filter(|status| holds(status)).count();
-        count >= self.majority() || self.breaks(Fault::PrimaryAlone)
+        count >= self.majority() || self.has_flaw(Flaw::PrimaryAlone)
     }
 
     /// The newest term in which a majority stands with records of it, so that
@@ -165,7 +168,7 @@
 
     /// Closes connections whose cycle or transaction belongs to a term that a
     /// majority has left.
-    fn cut_replaced(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn abort_replaced(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let terms = self.servers.iter().filter_map(|(_, server)| server.status());
         let mut terms: Vec<_> = terms.map(|status| status.term).collect();
         terms.sort_unstable_by(|a, b| b.cmp(a));
@@ -181,11 +184,11 @@
         });
         let replaced: Vec<_> = replaced.map(|(key, _)| key).collect();
         for conn in replaced {
-            self.cut(now, conn, out);
+            self.abort_conn(now, conn, out);
         }
     }
 
-    fn conclude(
+    fn apply_outcome(
         &mut self,
         now: Instant,
         key: Key<Request>,
@@ -196,11 +199,11 @@
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        request.ran |= outcome == Outcome::Unknown;
+        request.may_have_run |= outcome == Outcome::Unknown;
         let spoiled = outcome != Outcome::Done || (request.is_failed() && !request.orphan);
         let repeatable = request.class != Class::Write && reason == Reason::Replaced;
-        let repeatable = repeatable || self.breaks(Fault::Resend);
-        if spoiled && repeatable && self.again(now, key, out) {
+        let repeatable = repeatable || self.has_flaw(Flaw::Resend);
+        if spoiled && repeatable && self.retry(now, key, out) {
             return;
         }
         if outcome != Outcome::Done {
@@ -222,28 +225,28 @@
         request.attempt.status = crate::conn::IDLE;
         let owner = request.owner();
         if let Some(conn) = self.pins.get(&owner).copied() {
-            self.cut(now, conn, out);
+            self.abort_conn(now, conn, out);
         }
     }
 }
 
-fn is_same(attempt: &Attempt, status: &Status) -> bool {
+fn is_same_primary(attempt: &Attempt, status: &Status) -> bool {
     let primary = status.role == Role::Primary && status.term == attempt.term;
     primary && status.incarnation == attempt.incarnation
 }
 
 /// What became of a cycle by the history of a later term.
-fn by_history(attempt: &Attempt, established: &Established) -> Outcome {
+fn outcome_by_history(attempt: &Attempt, established: &Established) -> Outcome {
     let Some(next) = established.history.next(attempt.term) else {
         return Outcome::Unknown;
     };
-    if attempt.over.is_some() && !attempt.durable {
+    if attempt.completion.is_some() && !attempt.durable {
         return Outcome::NotRun;
     }
-    let undone = attempt.lo >= next.position;
-    if let Some(hi) = attempt.hi {
+    let undone = attempt.position_before >= next.position;
+    if let Some(hi) = attempt.mark_after {
         return match established.history.fate(hi) {
-            Fate::Survived if attempt.verify.is_none() => Outcome::Done,
+            Fate::Survived if attempt.verify_since.is_none() => Outcome::Done,
             Fate::Lost if undone => Outcome::NotRun,
             _ => Outcome::Unknown,
         };
--- a/components/keeper/src/server.rs
+++ b/components/keeper/src/server.rs
@@ -4,28 +4,28 @@
 
 use base::prelude::*;
 
-use crate::event::{self, Trouble};
+use crate::event::{self, Outage};
 use crate::request::Request;
-use crate::solo::{Commits, Lag};
+use crate::unfenced::{Commits, Lag};
 
 /// Time without a report after which a server counts as silent.
-pub(crate) const SILENCE: Duration = Duration::from_millis(300);
+pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A server with a seat in the group.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) setup: event::Server,
     /// Whether the setup still names it.
-    pub(crate) seated: bool,
-    pub(crate) seen: Option<Seen>,
+    pub(crate) configured: bool,
+    pub(crate) report: Option<Report>,
     /// Newest mark that a cycle's end showed of it.
-    pub(crate) marked: Mark,
+    pub(crate) last_mark: Mark,
     /// When the last report came, or when the server was first heard of.
-    pub(crate) heard: Instant,
+    pub(crate) last_heard: Instant,
     /// What the last question met, if it was not a report.
-    pub(crate) trouble: Option<Trouble>,
+    pub(crate) outage: Option<Outage>,
     /// Reports asked for before this don't let it serve reads.
-    pub(crate) distrusted: Instant,
+    pub(crate) distrusted_at: Instant,
     /// Requests of open transactions that wait for a slot.
     pub(crate) urgent: VecDeque<Key<Request>>,
     /// Connections that failed in a row.
@@ -33,7 +33,7 @@
     /// No connection is opened before this.
     pub(crate) connect_at: Instant,
     /// Whether it tells where it stands with its answers alone.
-    pub(crate) solo: bool,
+    pub(crate) unfenced: bool,
     /// When a commit was answered last, and when one last was not in time.
     pub(crate) commits: Commits,
     /// How far it is behind, where its answers tell.
@@ -41,16 +41,16 @@
     /// No statement is sent before this: it had no slot.
     pub(crate) full_until: Instant,
     /// Since when it is leaving.
-    pub(crate) leaves: Option<Instant>,
+    pub(crate) leaving_since: Option<Instant>,
 }
 
 /// The newest report of a server.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct Report {
     pub(crate) status: Status,
     /// It was true at some time after this.
-    pub(crate) sent: Instant,
-    pub(crate) came: Instant,
+    pub(crate) requested_at: Instant,
+    pub(crate) received_at: Instant,
 }
 
 impl std::ops::Deref for Server {
@@ -62,34 +62,34 @@
 }
 
 impl Server {
-    pub(crate) fn new(now: Instant, setup: event::Server, solo: bool) -> Self {
+    pub(crate) fn new(now: Instant, setup: event::Server, unfenced: bool) -> Self {
         Self {
             setup,
-            seated: true,
-            seen: None,
-            marked: Mark::default(),
-            heard: now,
-            trouble: None,
-            distrusted: Instant::ZERO,
+            configured: true,
+            report: None,
+            last_mark: Mark::default(),
+            last_heard: now,
+            outage: None,
+            distrusted_at: Instant::ZERO,
             urgent: VecDeque::new(),
             failures: 0,
             connect_at: now,
-            solo,
+            unfenced,
             commits: Commits::default(),
             lag: Lag::default(),
             full_until: Instant::ZERO,
-            leaves: None,
+            leaving_since: None,
         }
     }
 
     /// Takes a report in. Reports may cross: the higher version is the newer
     /// one, and it is as young as the youngest question that it or an older
     /// one answered.
-    pub(crate) fn see(&mut self, now: Instant, status: Status, sent: Instant) {
-        self.heard = now;
-        self.trouble = None;
-        let Some(seen) = &mut self.seen else {
-            self.seen = Some(Seen { status, sent, came: now });
+    pub(crate) fn record_status(&mut self, now: Instant, status: Status, sent: Instant) {
+        self.last_heard = now;
+        self.outage = None;
+        let Some(seen) = &mut self.report else {
+            self.report = Some(Report { status, requested_at: sent, received_at: now });
             return;
         };
         let (old, new) = (seen.status.incarnation, status.incarnation);
@@ -97,31 +97,31 @@
             return;
         }
         if new > old {
-            *seen = Seen { status, sent, came: now };
+            *seen = Report { status, requested_at: sent, received_at: now };
             return;
         }
         if status.version >= seen.status.version {
             seen.status = status;
-            seen.came = now;
+            seen.received_at = now;
         }
-        seen.sent = seen.sent.max(sent);
+        seen.requested_at = seen.requested_at.max(sent);
     }
 
     pub(crate) fn status(&self) -> Option<&Status> {
-        self.seen.as_ref().map(|seen| &seen.status)
+        self.report.as_ref().map(|seen| &seen.status)
     }
 
     /// Whether it answers questions.
-    pub(crate) fn answers(&self, now: Instant) -> bool {
-        if self.solo {
-            return self.seen.is_some() && self.trouble.is_none();
+    pub(crate) fn is_responsive(&self, now: Instant) -> bool {
+        if self.unfenced {
+            return self.report.is_some() && self.outage.is_none();
         }
-        let quiet = now.since(self.heard) > SILENCE;
-        self.seen.is_some() && self.trouble != Some(Trouble::Refused) && !quiet
+        let quiet = now.since(self.last_heard) > REPORT_TIMEOUT;
+        self.report.is_some() && self.outage != Some(Outage::Refused) && !quiet
     }
 
     /// Whether new work may go to it.
-    pub(crate) fn is_open(&self, now: Instant) -> bool {
-        self.seated && !self.leaving && self.slots > 0 && self.answers(now)
+    pub(crate) fn is_available(&self, now: Instant) -> bool {
+        self.configured && !self.leaving && self.slots > 0 && self.is_responsive(now)
     }
 }
--- a/components/keeper/src/service.rs
+++ b/components/keeper/src/service.rs
@@ -16,7 +16,7 @@
     /// Time in which its requests should be answered.
     pub(crate) objective: Option<Duration>,
     /// Requests that have not ended.
-    pub(crate) open: u32,
+    pub(crate) open_requests: u32,
     pub(crate) budget: Budget,
     /// Servers that selectors let it reach.
     pub(crate) reach: SmallVec<[Key<Server>; 4]>,
@@ -26,7 +26,15 @@
     pub(crate) fn new(name: Name) -> Self {
         let limits = Limits::default();
         let budget = Budget::new(limits.retry_share);
-        Self { name, weight: 1, limits, objective: None, open: 0, budget, reach: SmallVec::new() }
+        Self {
+            name,
+            weight: 1,
+            limits,
+            objective: None,
+            open_requests: 0,
+            budget,
+            reach: SmallVec::new(),
+        }
     }
 
     /// Takes over what the declarations say of it.
--- a/components/keeper/src/setup.rs
+++ b/components/keeper/src/setup.rs
@@ -9,18 +9,18 @@
 use crate::group::Group;
 use crate::request::Stage;
 use crate::server::Server;
-use crate::solo::Lag;
+use crate::unfenced::Lag;
 
 /// Time that an open transaction may go on once its lease is to be given up.
-const LINGER: Duration = Duration::from_secs(10);
+const TRANSACTION_GRACE: Duration = Duration::from_secs(10);
 
 impl Group {
     pub(crate) fn set_up(&mut self, now: Instant, setup: Setup, out: &mut Vec<Effect>) {
         self.follow_control(now, &setup);
         self.declared = setup.declared;
-        self.named = setup.primary;
+        self.control_primary = setup.primary;
         self.declarations = setup.declarations;
-        self.seat(now, setup.servers);
+        self.update_servers(now, setup.servers);
         let services = self.services.iter_mut();
         for (_, service) in services {
             service.update(&self.name, &self.declarations, &self.servers);
@@ -37,48 +37,48 @@
 
     pub(crate) fn close(&mut self, now: Instant, out: &mut Vec<Effect>) {
         self.closing = true;
-        self.finish_from.get_or_insert(now);
+        self.closing_since.get_or_insert(now);
         self.refuse_waiting(now, Reason::Closing, out);
     }
 
     /// Gives a returning lease up once no connection is left.
-    pub(crate) fn give_up(&mut self, out: &mut Vec<Effect>) {
+    pub(crate) fn release_lease(&mut self, out: &mut Vec<Effect>) {
         let due = self.lease == Lease::Returning || self.closing;
-        if due && self.conns.is_empty() && !self.given_up {
-            self.given_up = true;
-            out.push(Effect::GiveUp);
+        if due && self.conns.is_empty() && !self.lease_released {
+            self.lease_released = true;
+            out.push(Effect::ReleaseLease);
         }
     }
 
     /// Whether idle transactions have had their time.
-    pub(crate) fn lingered(&self, now: Instant) -> bool {
-        self.finish_from.is_some_and(|from| now.since(from) > LINGER)
+    pub(crate) fn is_grace_over(&self, now: Instant) -> bool {
+        self.closing_since.is_some_and(|from| now.since(from) > TRANSACTION_GRACE)
     }
 
     fn set_lease(&mut self, now: Instant, lease: Lease, out: &mut Vec<Effect>) {
         self.lease = lease;
         if lease == Lease::Held {
-            self.given_up = false;
-            self.finish_from = if self.closing { self.finish_from } else { None };
+            self.lease_released = false;
+            self.closing_since = if self.closing { self.closing_since } else { None };
             return;
         }
-        self.finish_from.get_or_insert(now);
+        self.closing_since.get_or_insert(now);
         self.refuse_waiting(now, Reason::WrongKeeper, out);
     }
 
-    fn seat(&mut self, now: Instant, setups: Vec<crate::event::Server>) {
+    fn update_servers(&mut self, now: Instant, setups: Vec<crate::event::Server>) {
         for (_, server) in self.servers.iter_mut() {
-            server.seated = setups.iter().any(|setup| setup.name == server.name);
+            server.configured = setups.iter().any(|setup| setup.name == server.name);
         }
         for setup in setups {
             match self.server_named(&setup.name) {
-                Some(key) => self.reseat(now, key, setup),
-                None => drop(self.servers.insert(Server::new(now, setup, self.is_solo()))),
+                Some(key) => self.update_server(now, key, setup),
+                None => drop(self.servers.insert(Server::new(now, setup, self.is_unfenced()))),
             }
         }
         let gone = |(key, server): (Key<Server>, &Server)| {
             let used = self.conns.iter().any(|(_, conn)| conn.server == key);
-            (!server.seated && !used).then_some(key)
+            (!server.configured && !used).then_some(key)
         };
         let gone: Vec<_> = self.servers.iter().filter_map(gone).collect();
         for key in gone {
@@ -86,7 +86,7 @@
         }
     }
 
-    fn reseat(&mut self, now: Instant, key: Key<Server>, setup: crate::event::Server) {
+    fn update_server(&mut self, now: Instant, key: Key<Server>, setup: crate::event::Server) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
@@ -95,10 +95,11 @@
             server.failures = 0;
         }
         if server.incarnation != setup.incarnation {
-            server.trouble = None;
+            server.outage = None;
             server.lag = Lag::default();
         }
-        server.leaves = if setup.leaving { server.leaves.or(Some(now)) } else { None };
+        server.leaving_since =
+            if setup.leaving { server.leaving_since.or(Some(now)) } else { None };
         server.setup = setup;
     }
 
@@ -113,18 +114,18 @@
     }
 
     /// Whether an idle connection of a server may stand at all.
-    pub(crate) fn keeps_idle(&self, server: Key<Server>) -> bool {
+    pub(crate) fn may_keep_idle(&self, server: Key<Server>) -> bool {
         let known = self.servers.get(server);
-        let leads = self.is_solo() && self.usable_named_is(server);
-        self.may_start() && known.is_some_and(|known| known.seated && (!known.leaving || leads))
+        let leads = self.is_unfenced() && self.is_control_primary(server);
+        self.may_start() && known.is_some_and(|known| known.configured && (!known.leaving || leads))
     }
 
     /// Connections of a server that stand, are opened or are being closed.
-    pub(crate) fn standing(&self, server: Key<Server>) -> u32 {
+    pub(crate) fn connection_count(&self, server: Key<Server>) -> u32 {
         self.conns.iter().filter(|(_, conn)| conn.server == server).count() as u32
     }
 
-    pub(crate) fn count_idle(&self, server: Key<Server>) -> u32 {
+    pub(crate) fn idle_count(&self, server: Key<Server>) -> u32 {
         let ready = |work| matches!(work, Work::Idle(_) | Work::Opening);
         let of = self.conns.iter().filter(|(_, conn)| conn.server == server && ready(conn.work));
         of.count() as u32
--- a/components/keeper/src/load.rs
+++ b/components/keeper/src/shedding.rs
@@ -11,20 +11,20 @@
 use crate::group::Group;
 use crate::request::{Lane, Request, Stage};
 use crate::server::Server;
-use crate::solo::{Need, shows_soon};
+use crate::unfenced::{Need, will_show_soon};
 
 impl Group {
     /// Whether the work that waits before a new request takes longer than its
     /// objective.
     pub(crate) fn would_wait_too_long(&self, now: Instant, key: Key<Request>) -> bool {
-        let Some(request) = self.requests.get(key).filter(|_| self.is_solo()) else {
+        let Some(request) = self.requests.get(key).filter(|_| self.is_unfenced()) else {
             return false;
         };
         let objective = self.services.get(request.service).and_then(|service| service.objective);
         let (Some(objective), Stage::Queued(lane)) = (objective, request.stage) else {
             return false;
         };
-        let work = self.typical * self.waiting(lane);
+        let work = self.typical_run_time * self.waiting(lane);
         // with every slot to itself it would wait no longer than for all of it
         if work <= objective {
             return false;
@@ -46,7 +46,7 @@
 
     /// Slots of this keeper's share that serve a lane at present.
     fn slots_for(&self, now: Instant, request: &Request, lane: Lane) -> u32 {
-        let primary = self.usable_named(now).map(|(key, _)| key);
+        let primary = self.usable_control_primary(now).map(|(key, _)| key);
         let share = |key| self.servers.get(key).map_or(0, |server: &Server| server.share);
         if lane == Lane::Primary {
             return primary.map_or(0, share);
@@ -55,7 +55,7 @@
             return 0;
         };
         let serves = |key: Key<Server>, server: &Server| {
-            Some(key) != primary && server.is_open(now) && shows_soon(now, server, mark)
+            Some(key) != primary && server.is_available(now) && will_show_soon(now, server, mark)
         };
         let replicas = self.servers.iter().filter(|(key, server)| serves(*key, server));
         let slots: u32 = replicas.map(|(_, server)| server.share).sum();
--- a/components/keeper/src/solo.rs
+++ b/components/keeper/src/unfenced.rs
@@ -16,7 +16,7 @@
 use crate::conn::{Connection, IDLE, Origin, Work};
 use crate::event::{Effect, Reported, Setup};
 use crate::group::Group;
-use crate::request::{Lane, Over, Request, Stage};
+use crate::request::{Completion, Lane, Request, Stage};
 use crate::server::Server;
 
 /// Time that statements have to end when a primary that leaves is replaced.
@@ -26,30 +26,30 @@
 const SAMPLE_SPACING: Duration = Duration::from_millis(40);
 
 /// Lag up to which a read waits at a replica for what it must show.
-const LITTLE_LAG: Duration = Duration::from_millis(60);
+const SHORT_LAG: Duration = Duration::from_millis(60);
 
 /// Lag that is assumed of a replica that lacks what a read must show.
-const LARGE_LAG: Duration = Duration::from_millis(200);
+const ASSUMED_LAG: Duration = Duration::from_millis(200);
 
 /// Time after which what was seen of a replica's lag says nothing any more.
-const LAG_STANDS: Duration = Duration::from_millis(500);
+const LAG_VALIDITY: Duration = Duration::from_millis(500);
 
 /// Wait before a statement that found no slot is sent again.
 const BUSY_PAUSE: Duration = Duration::from_millis(4);
 
 /// Wait before a statement that found no primary is sent again.
-const ASTRAY_PAUSE: Duration = Duration::from_millis(40);
+const NO_PRIMARY_PAUSE: Duration = Duration::from_millis(40);
 
 /// Time for which a primary that leaves still gets work.
 const LEAVING_LIMIT: Duration = Duration::from_secs(4);
 
 /// Time without a sample after which one is asked for, as a part of the age
 /// that reads accept.
-const SAMPLE_PART: u32 = 3;
+const SAMPLES_PER_AGE: u32 = 3;
 
 /// A group of this kind, beyond what each group has.
 #[derive(Debug, Default)]
-pub(crate) struct Solo {
+pub(crate) struct Unfenced {
     /// Term that control has intended or established.
     pub(crate) term: Term,
     /// Index of the control log that the setup stands at.
@@ -62,28 +62,28 @@
     /// Highest term that was sealed.
     sealed: Term,
     /// Numbers for the reports that answers stand for.
-    reports: u64,
+    report_version: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Sealing {
     term: Term,
-    old: Option<Key<Server>>,
+    old_primary: Option<Key<Server>>,
     until: Instant,
 }
 
 /// What became of the commits on a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Commits {
-    answered: Instant,
-    stalled: Option<Instant>,
+    last_answered: Instant,
+    last_stalled: Option<Instant>,
 }
 
 /// What is seen of a replica's lag.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Lag {
-    pub(crate) lag: Duration,
-    pub(crate) seen: Instant,
+    pub(crate) estimate: Duration,
+    pub(crate) observed_at: Instant,
 }
 
 /// What a read must see.
@@ -96,87 +96,88 @@
 }
 
 /// Whether a replica is expected to show a mark soon.
-pub(crate) fn shows_soon(now: Instant, server: &Server, mark: Mark) -> bool {
+pub(crate) fn will_show_soon(now: Instant, server: &Server, mark: Mark) -> bool {
     let shows = server.status().is_some_and(|status| status.applied_mark() >= mark);
-    let old = now.since(server.lag.seen) > LAG_STANDS;
-    shows || old || server.lag.lag <= LITTLE_LAG
+    let old = now.since(server.lag.observed_at) > LAG_VALIDITY;
+    shows || old || server.lag.estimate <= SHORT_LAG
 }
 
 impl Group {
     /// Whether the servers of the group acknowledge by themselves.
-    pub(crate) fn is_solo(&self) -> bool {
-        self.solo.is_some()
+    pub(crate) fn is_unfenced(&self) -> bool {
+        self.unfenced.is_some()
     }
 
     /// The primary that control names, with the term that it told last.
-    pub(crate) fn named_primary(&self) -> Option<(Key<Server>, Term)> {
-        let key = self.named.as_ref().and_then(|name| self.server_named(name))?;
+    pub(crate) fn control_named_primary(&self) -> Option<(Key<Server>, Term)> {
+        let key = self.control_primary.as_ref().and_then(|name| self.server_named(name))?;
         let term = self.servers.get(key)?.status().map(|status| status.term);
         Some((key, term.unwrap_or_default()))
     }
 
     /// The primary that control names, if new work may go to it.
-    pub(crate) fn usable_named(&self, now: Instant) -> Option<(Key<Server>, Term)> {
-        let (key, term) = self.named_primary()?;
+    pub(crate) fn usable_control_primary(&self, now: Instant) -> Option<(Key<Server>, Term)> {
+        let (key, term) = self.control_named_primary()?;
         let usable = |server: &Server| {
-            let left = server.leaves.is_some_and(|since| now.since(since) > LEAVING_LIMIT);
-            server.seated && server.slots > 0 && server.trouble.is_none() && !left
+            let left = server.leaving_since.is_some_and(|since| now.since(since) > LEAVING_LIMIT);
+            server.configured && server.slots > 0 && server.outage.is_none() && !left
         };
         self.servers.get(key).is_some_and(usable).then_some((key, term))
     }
 
     /// Whether a server is the primary that control names.
-    pub(crate) fn usable_named_is(&self, server: Key<Server>) -> bool {
-        self.named_primary().is_some_and(|(key, _)| key == server)
+    pub(crate) fn is_control_primary(&self, server: Key<Server>) -> bool {
+        self.control_named_primary().is_some_and(|(key, _)| key == server)
     }
 
     /// Takes over which primary control names, before the setup itself.
     pub(crate) fn follow_control(&mut self, now: Instant, setup: &Setup) {
-        let Some(told) = setup.solo else {
-            self.solo = None;
+        let Some(told) = setup.unfenced else {
+            self.unfenced = None;
             return;
         };
-        let old = self.named_primary().map(|(key, _)| key);
-        let same = self.named == setup.primary;
+        let old = self.control_named_primary().map(|(key, _)| key);
+        let same = self.control_primary == setup.primary;
         let leaves = old.and_then(|key| self.servers.get(key)).is_some_and(|s| s.leaving);
-        if self.solo.is_none() {
+        if self.unfenced.is_none() {
             self.ring = Ring::spaced(SAMPLE_SPACING);
         }
-        let solo = self.solo.get_or_insert_default();
-        solo.index = told.index;
-        let newer = told.term > solo.term;
-        solo.term = solo.term.max(told.term);
+        let unfenced = self.unfenced.get_or_insert_default();
+        unfenced.index = told.index;
+        let newer = told.term > unfenced.term;
+        unfenced.term = unfenced.term.max(told.term);
         if !newer && same {
             return;
         }
-        let waits = solo.sealing.and_then(|sealing| sealing.old);
+        let waits = unfenced.sealing.and_then(|sealing| sealing.old_primary);
         let until = if leaves { now + SEAL_GRACE } else { now };
-        solo.sealing = Some(Sealing { term: solo.term, old: old.or(waits), until });
+        unfenced.sealing = Some(Sealing { term: unfenced.term, old_primary: old.or(waits), until });
     }
 
     /// Ends what still runs for a replaced primary, and tells control.
     pub(crate) fn seal(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let Some(sealing) = self.solo.as_ref().and_then(|solo| solo.sealing) else {
+        let Some(sealing) = self.unfenced.as_ref().and_then(|unfenced| unfenced.sealing) else {
             return;
         };
-        let bound = self.bound_to(sealing.old);
+        let bound = self.connections_using(sealing.old_primary);
         if !bound.is_empty() && now < sealing.until {
             return;
         }
         for conn in bound {
-            self.cut(now, conn, out);
+            self.abort_conn(now, conn, out);
         }
-        let Some(solo) = self.solo.as_mut() else { return };
-        solo.sealing = None;
-        if sealing.term > solo.sealed {
-            solo.sealed = sealing.term;
-            let (mark, index) = solo.acked.map_or((None, 0), |(mark, index)| (Some(mark), index));
+        let Some(unfenced) = self.unfenced.as_mut() else { return };
+        unfenced.sealing = None;
+        if sealing.term > unfenced.sealed {
+            unfenced.sealed = sealing.term;
+            let (mark, index) =
+                unfenced.acked.map_or((None, 0), |(mark, index)| (Some(mark), index));
             out.push(Effect::Seal { term: sealing.term, mark, index });
         }
     }
 
     /// Connections on which something of a primary's work is open.
-    fn bound_to(&self, old: Option<Key<Server>>) -> Vec<Key<Connection>> {
+    fn connections_using(&self, old: Option<Key<Server>>) -> Vec<Key<Connection>> {
         let bound = |conn: &Connection| match conn.work {
             Work::Busy(_) | Work::Marking(_) | Work::Pinned(_) => Some(conn.server) == old,
             _ => false,
@@ -198,34 +199,35 @@
         };
         connection.status = reported.status;
         let (server, work) = (connection.server, connection.work);
-        self.note(now, server, reported);
+        self.record_report(now, server, reported);
         match work {
             Work::RollingBack(_) | Work::Sampling(_) if reported.status == IDLE => {
-                self.rest(now, conn);
+                self.release_conn(now, conn);
             }
-            Work::Busy(key) => self.answered(now, conn, key, reported, out),
+            Work::Busy(key) => self.cycle_answered(now, conn, key, reported, out),
             // the session stands: its first report is the end of no request
             Work::Opening => self.opened(now, conn),
             Work::Closing { .. } => {}
-            _ => self.cut(now, conn, out),
+            _ => self.abort_conn(now, conn, out),
         }
         self.unpark(now);
     }
 
     /// Notes where a server stands.
-    fn note(&mut self, now: Instant, key: Key<Server>, reported: Reported) {
-        let primary = self.named_primary().is_some_and(|(named, _)| named == key);
-        let (Some(server), Some(solo)) = (self.servers.get_mut(key), self.solo.as_mut()) else {
+    fn record_report(&mut self, now: Instant, key: Key<Server>, reported: Reported) {
+        let primary = self.control_named_primary().is_some_and(|(named, _)| named == key);
+        let (Some(server), Some(unfenced)) = (self.servers.get_mut(key), self.unfenced.as_mut())
+        else {
             return;
         };
-        server.heard = now;
-        server.trouble = None;
+        server.last_heard = now;
+        server.outage = None;
         let Some(mark) = reported.mark else { return };
         // an answer that comes without the lease says nothing of the present
         if primary && !self.leased {
             return;
         }
-        solo.reports += 1;
+        unfenced.report_version += 1;
         let known = server.status().map(Status::last).unwrap_or_default();
         let mark = mark.max(known);
         let status = Status {
@@ -238,20 +240,20 @@
             role: if primary { Role::Primary } else { Role::Replica },
             silence: Duration::ZERO,
             history: History::default(),
-            version: solo.reports,
+            version: unfenced.report_version,
         };
         if !primary && let Some(sample) = self.ring.shown(&status) {
             let lag = now.since(sample.taken);
-            server.lag = Lag { lag: (server.lag.lag * 3 + lag) / 4, seen: now };
+            server.lag = Lag { estimate: (server.lag.estimate * 3 + lag) / 4, observed_at: now };
         }
-        server.see(now, status, reported.sent);
+        server.record_status(now, status, reported.sent);
         if primary {
             self.verify();
         }
     }
 
     /// Decides on a request whose cycle is over.
-    fn answered(
+    fn cycle_answered(
         &mut self,
         now: Instant,
         conn: Key<Connection>,
@@ -261,7 +263,7 @@
     ) {
         self.resume_conn(conn, out);
         let Some(request) = self.requests.get_mut(key) else {
-            return self.cut(now, conn, out);
+            return self.abort_conn(now, conn, out);
         };
         let Reported { status, fault, mark, .. } = reported;
         let (service, owner, orphan) = (request.service, request.owner(), request.orphan);
@@ -271,18 +273,18 @@
         let sent_at = attempt.sent_at;
         if primary && !self.leased {
             // nobody knows whether the server still leads
-            return self.cut(now, conn, out);
+            return self.abort_conn(now, conn, out);
         }
-        attempt.over = Some(Over { at: now, failed: fault.is_some() });
+        attempt.completion = Some(Completion { at: now, failed: fault.is_some() });
         attempt.status = status;
         if writes && primary && status == IDLE && fault.is_none() {
-            attempt.hi = mark;
+            attempt.mark_after = mark;
             attempt.durable = true;
         }
         self.charge(service, primary, now.since(sent_at));
         if status == IDLE {
             self.unpin(conn);
-            self.rest(now, conn);
+            self.release_conn(now, conn);
         } else if orphan || (!within && fault.is_some()) {
             self.unpin(conn);
             self.roll_back(now, conn, out);
@@ -293,7 +295,7 @@
         }
         match fault {
             Some(fault) if fault.is_not_run() && !within && !orphan => {
-                self.refused(now, conn, key, fault, out);
+                self.retry_refused(now, conn, key, fault, out);
             }
             _ => self.acknowledge(now, key, mark, out),
         }
@@ -312,21 +314,21 @@
     ) {
         let attempt = self.requests.get(key).map(|request| &request.attempt);
         let durable = attempt.filter(|attempt| attempt.durable).map(|attempt| attempt.index);
-        if let (Some(index), Some(mark), Some(solo)) = (durable, mark, self.solo.as_mut()) {
-            let newer = solo.acked.is_none_or(|(known, _)| known < mark);
+        if let (Some(index), Some(mark), Some(unfenced)) = (durable, mark, self.unfenced.as_mut()) {
+            let newer = unfenced.acked.is_none_or(|(known, _)| known < mark);
             if newer {
-                solo.acked = Some((mark, index));
+                unfenced.acked = Some((mark, index));
             }
             let server = self.requests.get(key).and_then(|request| request.attempt.server);
             if let Some(server) = server.and_then(|server| self.servers.get_mut(server)) {
-                server.commits = Commits { answered: now, stalled: None };
+                server.commits = Commits { last_answered: now, last_stalled: None };
             }
         }
         self.finish(now, key, Outcome::Done, Reason::None, out);
     }
 
     /// Sends a request elsewhere that its server refused to run.
-    fn refused(
+    fn retry_refused(
         &mut self,
         now: Instant,
         conn: Key<Connection>,
@@ -337,7 +339,7 @@
         let server = self.conns.get(conn).map(|conn| conn.server);
         if let Some(server) = server.and_then(|key| self.servers.get_mut(key)) {
             match fault {
-                Fault::Behind => server.lag = Lag { lag: LARGE_LAG, seen: now },
+                Fault::Behind => server.lag = Lag { estimate: ASSUMED_LAG, observed_at: now },
                 Fault::Busy => server.full_until = now + BUSY_PAUSE,
                 _ => {}
             }
@@ -345,16 +347,16 @@
         let wait = match fault {
             Fault::Behind | Fault::Unprepared => Duration::ZERO,
             Fault::Busy => BUSY_PAUSE,
-            _ => ASTRAY_PAUSE,
+            _ => NO_PRIMARY_PAUSE,
         };
-        self.send_again(now, key, wait);
+        self.resend(now, key, wait);
         if fault == Fault::ReadOnly {
-            self.watch(now, out);
+            self.report_health(now, out);
         }
     }
 
     /// Queues a request that surely did not run once more.
-    fn send_again(&mut self, now: Instant, key: Key<Request>, wait: Duration) {
+    fn resend(&mut self, now: Instant, key: Key<Request>, wait: Duration) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -365,7 +367,7 @@
 
     /// What a read must see, as far as a sample tells.
     pub(crate) fn need(&self, now: Instant, request: &Request) -> Need {
-        let Some(since) = request.since(now) else {
+        let Some(since) = request.sampled_since(now) else {
             return Need::Mark(request.floor.unwrap_or_default());
         };
         match self.ring.first_since(since) {
@@ -375,7 +377,7 @@
     }
 
     /// Where a parked read is to queue, once that is clear.
-    pub(crate) fn lane_solo(&self, now: Instant, request: &Request) -> Option<Lane> {
+    pub(crate) fn unfenced_lane(&self, now: Instant, request: &Request) -> Option<Lane> {
         if request.is_fresh() {
             return Some(Lane::Primary);
         }
@@ -385,11 +387,11 @@
 
     /// Asks the primary where it stands, when reads that accept an age lack a
     /// sample and no other answer brings one.
-    pub(crate) fn sample_solo(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        if !self.sampling.wants_solo(now, SAMPLE_PART) {
+    pub(crate) fn sample_unfenced(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        if !self.sampling.needs_sample(now, SAMPLES_PER_AGE) {
             return;
         }
-        let Some((server, _)) = self.usable_named(now) else { return };
+        let Some((server, _)) = self.usable_control_primary(now) else { return };
         let runs = self.conns.iter().any(|(_, conn)| matches!(conn.work, Work::Sampling(_)));
         if runs || self.running(server) > 0 || !self.may_start() {
             return;
@@ -398,7 +400,7 @@
             if let Some(connection) = self.conns.get_mut(conn) {
                 connection.work = Work::Sampling(now);
             }
-            self.sampling.asked_solo(now);
+            self.sampling.note_requested(now);
             out.push(Effect::Mark { conn });
         }
     }
--- a/components/keeper/tests/fuzz/wire.rs
+++ b/components/keeper/tests/fuzz/link.rs
@@ -27,7 +27,7 @@
 
 /// One connection.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Link {
     pub conn: Key<Connection>,
     pub server: usize,
     pub standing: bool,
@@ -42,7 +42,7 @@
     pub paused: bool,
 }
 
-impl Wire {
+impl Link {
     pub fn new(conn: Key<Connection>, server: usize) -> Self {
         Self {
             conn,
@@ -77,8 +77,9 @@
     }
 
     fn run(&mut self, id: u64, owner: usize, server: &mut Server, oracle: &mut Oracle) {
-        let asked = oracle.asked.values().find(|asked| asked.id == id).expect("a known request");
-        let (verb, conn) = (asked.verb, self.conn);
+        let request =
+            oracle.requests.values().find(|request| request.id == id).expect("a known request");
+        let (verb, conn) = (request.verb, self.conn);
         if let Some(open) = &self.open {
             assert_eq!(open.owner, owner, "request {id} ran in another caller's transaction");
         }
--- a/components/keeper/tests/fuzz/main.rs
+++ b/components/keeper/tests/fuzz/main.rs
@@ -3,15 +3,15 @@
 //! A schedule is drawn from its seed alone. `TREFOIL_FUZZ_SCHEDULES` sets how
 //! many are run, `TREFOIL_FUZZ_FIRST` the first seed.
 
+mod link;
 mod oracle;
 mod server;
-mod wire;
 mod world;
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use arbtest::arbitrary::Unstructured;
-use keeper::Fault;
+use keeper::Flaw;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use world::World;
@@ -37,11 +37,11 @@
     given.and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-fn run(seed: u64, fault: Option<Fault>) {
+fn run(seed: u64, flaw: Option<Flaw>) {
     let mut bytes = vec![0; BYTES];
     ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut bytes);
     let mut u = Unstructured::new(&bytes);
-    let mut world = World::new(fault);
+    let mut world = World::new(flaw);
     for _ in 0..STEPS {
         if u.is_empty() || world.step(&mut u).is_err() {
             break;
@@ -63,18 +63,18 @@
     }
 }
 
-fn is_found(fault: Fault) -> bool {
+fn is_found(flaw: Flaw) -> bool {
     let found = (0..FAULT_SCHEDULES)
-        .find(|seed| catch_unwind(AssertUnwindSafe(|| run(*seed, Some(fault)))).is_err());
-    eprintln!("{fault} found by schedule {found:?}");
+        .find(|seed| catch_unwind(AssertUnwindSafe(|| run(*seed, Some(flaw)))).is_err());
+    eprintln!("{flaw} found by schedule {found:?}");
     found.is_some()
 }
 
 #[test]
 fn each_broken_rule_is_found() {
-    for fault in
-        [Fault::PrimaryAlone, Fault::Termless, Fault::Resend, Fault::EarlyReuse, Fault::Unverified]
+    for flaw in
+        [Flaw::PrimaryAlone, Flaw::Termless, Flaw::Resend, Flaw::EarlyReuse, Flaw::Unverified]
     {
-        assert!(is_found(fault), "{fault} was not found");
+        assert!(is_found(flaw), "{flaw} was not found");
     }
 }
--- a/components/keeper/tests/fuzz/oracle.rs
+++ b/components/keeper/tests/fuzz/oracle.rs
@@ -20,7 +20,7 @@
 
 /// A request as its caller knows it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Request {
     pub id: u64,
     pub verb: Verb,
     pub class: Class,
@@ -48,14 +48,14 @@
 
 #[derive(Debug, Default)]
 pub struct Oracle {
-    pub asked: BTreeMap<(Front, u64), Asked>,
+    pub requests: BTreeMap<(Front, u64), Request>,
     pub replies: Vec<Reply>,
     /// How often each request was sent.
     pub sent: HashMap<u64, u32>,
     pub acked: Vec<(u64, Instant)>,
     /// Writes of another keeper that it has not acknowledged yet.
-    pub elsewhere: Vec<u64>,
-    pub never: BTreeSet<u64>,
+    pub other_writes: Vec<u64>,
+    pub forbidden: BTreeSet<u64>,
     pub repeatable: BTreeSet<u64>,
     /// Servers that held a write in the term that it was written in.
     pub holders: HashMap<(u64, Term), BTreeSet<usize>>,
@@ -72,45 +72,50 @@
     }
 
     pub fn part(&mut self, front: Front, part: &Part) {
-        let asked = self.asked.get_mut(&(front, part.request)).expect("a part of a known request");
-        assert!(!asked.ended, "a part after the end of {}", asked.id);
-        assert_eq!(part.sequence, asked.parts, "parts of {} are in order", asked.id);
-        asked.parts += 1;
+        let request =
+            self.requests.get_mut(&(front, part.request)).expect("a part of a known request");
+        assert!(!request.ended, "a part after the end of {}", request.id);
+        assert_eq!(part.sequence, request.parts, "parts of {} are in order", request.id);
+        request.parts += 1;
         let text = std::str::from_utf8(&part.payload).expect("text");
         let number: u64 = text.parse().expect("the number of a reply");
-        assert_eq!(self.replies[number as usize].id, asked.id, "an answer went to another request");
-        asked.reply = Some(number);
+        assert_eq!(
+            self.replies[number as usize].id, request.id,
+            "an answer went to another request"
+        );
+        request.reply = Some(number);
     }
 
     /// Notes an end; returns the request.
-    pub fn end(&mut self, now: Instant, front: Front, end: &End, servers: &[Server]) -> Asked {
-        let asked = self.asked.get_mut(&(front, end.request)).expect("an end of a known request");
-        assert!(!asked.ended, "request {} ended twice", asked.id);
-        assert_eq!(end.parts, asked.parts, "parts of {}", asked.id);
-        asked.ended = true;
-        let asked = asked.clone();
+    pub fn end(&mut self, now: Instant, front: Front, end: &End, servers: &[Server]) -> Request {
+        let request =
+            self.requests.get_mut(&(front, end.request)).expect("an end of a known request");
+        assert!(!request.ended, "request {} ended twice", request.id);
+        assert_eq!(end.parts, request.parts, "parts of {}", request.id);
+        request.ended = true;
+        let request = request.clone();
         match end.outcome() {
-            Outcome::Done => self.done(now, &asked, servers),
-            Outcome::NotRun => self.not_run(&asked, end),
+            Outcome::Done => self.done(now, &request, servers),
+            Outcome::NotRun => self.not_run(&request, end),
             Outcome::Unknown => {}
             Outcome::Missing => panic!("no outcome"),
         }
-        asked
+        request
     }
 
-    fn done(&mut self, now: Instant, asked: &Asked, servers: &[Server]) {
-        let reply = asked.reply.expect("a request is done with an answer");
+    fn done(&mut self, now: Instant, request: &Request, servers: &[Server]) {
+        let reply = request.reply.expect("a request is done with an answer");
         let reply = self.replies[reply as usize].clone();
         if reply.failed {
-            if asked.verb == Verb::Write && !asked.within {
-                self.never.insert(asked.id);
+            if request.verb == Verb::Write && !request.within {
+                self.forbidden.insert(request.id);
             }
             return;
         }
-        let ops: &[u64] = match asked.verb {
-            Verb::Write if !asked.within => &[asked.id],
-            Verb::Commit => &asked.ops,
-            Verb::Read if !asked.within => return self.check_read(asked, &reply),
+        let ops: &[u64] = match request.verb {
+            Verb::Write if !request.within => &[request.id],
+            Verb::Commit => &request.ops,
+            Verb::Read if !request.within => return self.check_read(request, &reply),
             _ => return,
         };
         for op in ops {
@@ -120,13 +125,13 @@
     }
 
     /// Lets the other keeper acknowledge what a majority holds.
-    pub fn acknowledge_elsewhere(&mut self, now: Instant) {
-        let waiting = std::mem::take(&mut self.elsewhere);
+    pub fn acknowledge_other_writes(&mut self, now: Instant) {
+        let waiting = std::mem::take(&mut self.other_writes);
         for op in waiting {
             if self.is_held(op) {
                 self.acked.push((op, now));
             } else {
-                self.elsewhere.push(op);
+                self.other_writes.push(op);
             }
         }
     }
@@ -142,35 +147,40 @@
         assert!(held || now >= 2, "write {op} was acknowledged without a majority");
     }
 
-    fn check_read(&self, asked: &Asked, reply: &Reply) {
-        let missing: Vec<_> = asked.known.iter().filter(|op| !reply.seen.contains(op)).collect();
-        assert!(missing.is_empty(), "read {} misses the session's {missing:?}", asked.id);
-        let Some(since) = asked.since else {
+    fn check_read(&self, request: &Request, reply: &Reply) {
+        let missing: Vec<_> = request.known.iter().filter(|op| !reply.seen.contains(op)).collect();
+        assert!(missing.is_empty(), "read {} misses the session's {missing:?}", request.id);
+        let Some(since) = request.since else {
             return;
         };
         for (op, at) in self.acked.iter().filter(|(_, at)| *at < since) {
-            assert!(reply.seen.contains(op), "read {} misses {op}, acknowledged at {at}", asked.id);
+            assert!(
+                reply.seen.contains(op),
+                "read {} misses {op}, acknowledged at {at}",
+                request.id
+            );
         }
     }
 
-    fn not_run(&mut self, asked: &Asked, end: &End) {
-        if asked.verb == Verb::Write && !asked.within {
-            self.never.insert(asked.id);
+    fn not_run(&mut self, request: &Request, end: &End) {
+        if request.verb == Verb::Write && !request.within {
+            self.forbidden.insert(request.id);
         }
-        if asked.within && end.status == u32::from(b'I') {
-            self.never.extend(asked.ops.iter().copied());
-            self.never.insert(asked.id);
+        if request.within && end.status == u32::from(b'I') {
+            self.forbidden.extend(request.ops.iter().copied());
+            self.forbidden.insert(request.id);
         }
     }
 
     /// Notes that a request was sent; whether it is a repeat that must not overlap.
     pub fn note_sent(&mut self, id: u64) -> bool {
-        let asked = self.asked.values().find(|asked| asked.id == id).expect("a known request");
+        let request =
+            self.requests.values().find(|request| request.id == id).expect("a known request");
         let sent = self.sent.entry(id).or_default();
         *sent += 1;
-        let once = asked.class == Class::Write || asked.within;
+        let once = request.class == Class::Write || request.within;
         assert!(!once || *sent == 1, "request {id} was sent twice");
-        *sent > 1 && asked.class == Class::Idempotent
+        *sent > 1 && request.class == Class::Idempotent
     }
 
     /// Checks the log that survived against all that was told.
@@ -181,7 +191,7 @@
         }
         for (op, times) in &count {
             assert!(*times == 1 || self.repeatable.contains(op), "write {op} is doubled");
-            assert!(!self.never.contains(op), "write {op} was not run, but stands in the log");
+            assert!(!self.forbidden.contains(op), "write {op} was not run, but stands in the log");
         }
         for (op, _) in &self.acked {
             assert!(count.contains_key(op), "write {op} was acknowledged, but is lost");
--- a/components/keeper/tests/fuzz/world.rs
+++ b/components/keeper/tests/fuzz/world.rs
@@ -1,7 +1,7 @@
 //! The world around one group: fronts, servers, connections and time.
 
-mod ask;
 mod fault;
+mod request;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use base::prelude::*;
 use bytes::Bytes;
 use config::Declarations;
-use keeper::{Connection, Effect, Event, Fault, Front, Group, Lease, Setup, Trouble, event};
+use keeper::{Connection, Effect, Event, Flaw, Front, Group, Lease, Outage, Setup, event};
 
+use crate::link::{Job, Link};
 use crate::oracle::Oracle;
 use crate::server::Server;
-use crate::wire::{Job, Wire};
 
 pub const SERVERS: usize = 3;
 const CALLERS: usize = 6;
@@ -52,9 +52,9 @@
     now: Instant,
     group: Group,
     servers: Vec<Server>,
-    wires: BTreeMap<Key<Connection>, Wire>,
+    links: BTreeMap<Key<Connection>, Link>,
     /// Jobs of closed connections, with the term in which they wait.
-    ghosts: Vec<(Term, Wire)>,
+    detached: Vec<(Term, Link)>,
     probes: Vec<Probe>,
     callers: Vec<Caller>,
     fronts: [Front; 2],
@@ -64,7 +64,7 @@
     setup: Setup,
     leased: bool,
     /// Servers that the group is cut off from.
-    lost: [bool; SERVERS],
+    unreachable: [bool; SERVERS],
     next: u64,
     out: Vec<Effect>,
 }
@@ -106,7 +106,7 @@
         expired: false,
     };
     Setup {
-        solo: None,
+        unfenced: None,
         declared: SERVERS as u32,
         primary: None,
         servers: servers.iter().enumerate().map(seat).collect(),
@@ -116,11 +116,11 @@
 }
 
 impl World {
-    pub fn new(fault: Option<Fault>) -> Self {
+    pub fn new(flaw: Option<Flaw>) -> Self {
         let name = |text| Name::new(text).expect("a name");
         let mut group = Group::new(name("group"), name("zone-0"), 1);
-        if let Some(fault) = fault {
-            group.break_rule(fault);
+        if let Some(flaw) = flaw {
+            group.inject_flaw(flaw);
         }
         let mut servers: Vec<_> = (0..SERVERS).map(Server::new).collect();
         servers[0].fence(Term(1));
@@ -132,8 +132,8 @@
             group,
             setup: setup(&servers),
             servers,
-            wires: BTreeMap::new(),
-            ghosts: Vec::new(),
+            links: BTreeMap::new(),
+            detached: Vec::new(),
             probes: Vec::new(),
             callers: (0..CALLERS).map(|n| Caller { front: n % 2, ..Caller::default() }).collect(),
             fronts: [Front(0), Front(1)],
@@ -141,18 +141,18 @@
             failover: None,
             term: Term(1),
             leased: true,
-            lost: [false; SERVERS],
+            unreachable: [false; SERVERS],
             next: 2,
             out: Vec::new(),
         };
         world.feed(Event::Setup(world.setup.clone()));
         world.feed(Event::Leased(true));
-        world.settle_in();
+        world.warm_up();
         world
     }
 
     /// Lets the group meet its servers before anything happens.
-    fn settle_in(&mut self) {
+    fn warm_up(&mut self) {
         for _ in 0..40 {
             self.progress();
         }
@@ -186,8 +186,8 @@
                 let server = self.index(&server);
                 self.probes.push(Probe::Asked { server, sent: self.now });
             }
-            Effect::GiveUp => {
-                assert!(self.wires.is_empty(), "the lease was given up with connections open");
+            Effect::ReleaseLease => {
+                assert!(self.links.is_empty(), "the lease was given up with connections open");
             }
             Effect::Cancel { .. }
             | Effect::Report(_)
@@ -207,72 +207,73 @@
 
     fn connect(&mut self, conn: Key<Connection>, server: &Name) {
         let server = self.index(server);
-        let standing = self.wires.values().filter(|wire| wire.server == server).count();
+        let standing = self.links.values().filter(|link| link.server == server).count();
         let limit = self.setup.servers[server].connections as usize;
         assert!(standing < limit, "more connections than the lease allows");
         assert!(self.may_start(), "a connection without a lease");
-        self.wires.insert(conn, Wire::new(conn, server));
+        self.links.insert(conn, Link::new(conn, server));
     }
 
-    fn use_wire(&mut self, conn: Key<Connection>) -> &mut Wire {
-        let wire = self.wires.get_mut(&conn).expect("a send on a known connection");
-        assert!(wire.standing, "a send before the connection is open");
-        assert_eq!(wire.due, 0, "a connection was used before its last cycle was over");
-        wire.due += 1;
-        wire
+    fn use_link(&mut self, conn: Key<Connection>) -> &mut Link {
+        let link = self.links.get_mut(&conn).expect("a send on a known connection");
+        assert!(link.standing, "a send before the connection is open");
+        assert_eq!(link.due, 0, "a connection was used before its last cycle was over");
+        link.due += 1;
+        link
     }
 
     fn roll_back(&mut self, conn: Key<Connection>) {
-        self.use_wire(conn);
+        self.use_link(conn);
         self.push(conn, Job::Rollback);
     }
 
     fn send(&mut self, conn: Key<Connection>, bytes: &Bytes) {
-        let wire = self.use_wire(conn);
-        wire.runs = true;
-        let server = wire.server;
+        let link = self.use_link(conn);
+        link.runs = true;
+        let server = link.server;
         let id: u64 = std::str::from_utf8(bytes).expect("text").parse().expect("an id");
-        let asked = self.oracle.asked.values().find(|asked| asked.id == id);
-        let asked = asked.expect("a known request").clone();
-        assert!(!asked.ended, "request {id} was sent after its end");
-        let running = self.wires.values().filter(|w| w.server == server && w.runs).count();
+        let request = self.oracle.requests.values().find(|request| request.id == id);
+        let request = request.expect("a known request").clone();
+        assert!(!request.ended, "request {id} was sent after its end");
+        let running = self.links.values().filter(|w| w.server == server && w.runs).count();
         assert!(running <= SLOTS as usize, "more statements than slots");
-        if !asked.within {
+        if !request.within {
             assert!(self.may_start(), "request {id} was started without a lease");
             assert!(!self.setup.servers[server].leaving, "request {id} went to a leaving server");
         }
         if self.oracle.note_sent(id) {
-            let lives = self.ghosts.iter().any(|(term, ghost)| self.may_write(id, *term, ghost));
+            let lives =
+                self.detached.iter().any(|(term, detached)| self.may_write(id, *term, detached));
             assert!(!lives, "request {id} was repeated while its first try could run");
         }
-        self.push(conn, Job::Run { id, owner: asked.caller });
+        self.push(conn, Job::Run { id, owner: request.caller });
     }
 
     fn push(&mut self, conn: Key<Connection>, job: Job) {
-        let wire = self.wires.get_mut(&conn).expect("a known connection");
+        let link = self.links.get_mut(&conn).expect("a known connection");
         // what is written to a broken connection reaches nobody
-        if !matches!(wire.events.back(), Some(Event::Closed { .. })) {
-            wire.jobs.push_back(job);
+        if !matches!(link.events.back(), Some(Event::Closed { .. })) {
+            link.jobs.push_back(job);
         }
     }
 
     fn set_paused(&mut self, conn: Key<Connection>, paused: bool) {
-        if let Some(wire) = self.wires.get_mut(&conn) {
-            wire.paused = paused;
+        if let Some(link) = self.links.get_mut(&conn) {
+            link.paused = paused;
         }
     }
 
     /// The group closes a connection: the server may still run what it has.
     fn close(&mut self, conn: Key<Connection>) {
-        let wire = self.wires.get_mut(&conn).expect("a known connection");
-        let mut ghost = Wire::new(conn, wire.server);
-        std::mem::swap(&mut ghost.jobs, &mut wire.jobs);
-        ghost.open = wire.open.take();
-        ghost.standing = wire.standing;
-        wire.events = [Event::Closed { conn }].into();
-        (wire.paused, wire.runs) = (false, false);
-        if ghost.standing && !ghost.jobs.is_empty() {
-            self.ghosts.push((self.servers[ghost.server].term, ghost));
+        let link = self.links.get_mut(&conn).expect("a known connection");
+        let mut detached = Link::new(conn, link.server);
+        std::mem::swap(&mut detached.jobs, &mut link.jobs);
+        detached.open = link.open.take();
+        detached.standing = link.standing;
+        link.events = [Event::Closed { conn }].into();
+        (link.paused, link.runs) = (false, false);
+        if detached.standing && !detached.jobs.is_empty() {
+            self.detached.push((self.servers[detached.server].term, detached));
         }
     }
 
@@ -283,7 +284,7 @@
         }
         match u.int_in_range(0..=199_u8)? {
             0..=34 => self.ask(u)?,
-            35..=84 => self.step_wire(u)?,
+            35..=84 => self.step_link(u)?,
             85..=104 => self.step_probe(u)?,
             105..=119 => {
                 let server = u.choose_index(SERVERS)?;
@@ -295,25 +296,25 @@
             165 => self.crash(u.choose_index(SERVERS)?),
             166..=167 => self.revive(u.choose_index(SERVERS)?),
             168 => self.servers[u.choose_index(SERVERS)?].cut = u.arbitrary()?,
-            169..=171 => self.break_wire(u)?,
+            169..=171 => self.break_link(u)?,
             172 => self.leave(u.choose_index(CALLERS)?),
-            173 if u.ratio(1, 3)? => self.vanish(u.choose_index(2)?),
+            173 if u.ratio(1, 3)? => self.disconnect_front(u.choose_index(2)?),
             174..=176 => self.cancel_or_credit(u)?,
             177..=178 => self.change_lease(u)?,
             179 => self.change_servers(u)?,
-            180..=185 => self.step_ghost(u)?,
-            186..=189 => self.write_elsewhere(),
-            190 => self.lost[u.choose_index(SERVERS)?] = u.ratio(2, 3)?,
-            191 => self.part(u.choose_index(SERVERS)?, u.arbitrary()?, u.arbitrary()?),
-            192 => self.join(),
-            193 => self.depose(u.arbitrary()?),
+            180..=185 => self.step_detached(u)?,
+            186..=189 => self.write_by_other_keeper(),
+            190 => self.unreachable[u.choose_index(SERVERS)?] = u.ratio(2, 3)?,
+            191 => self.partition(u.choose_index(SERVERS)?, u.arbitrary()?, u.arbitrary()?),
+            192 => self.heal(),
+            193 => self.replace_primary(u.arbitrary()?),
             _ => self.progress_one(),
         }
         Ok(())
     }
 
-    fn step_wire(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.wires.is_empty() {
+    fn step_link(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        if self.links.is_empty() {
             return Ok(());
         }
         let busy = self.busy();
@@ -330,60 +331,60 @@
     }
 
     fn busy(&self) -> Vec<Key<Connection>> {
-        let busy = |wire: &&Wire| is_busy(wire) && !self.lost[wire.server];
-        self.wires.values().filter(busy).map(|wire| wire.conn).collect()
+        let busy = |link: &&Link| is_busy(link) && !self.unreachable[link.server];
+        self.links.values().filter(busy).map(|link| link.conn).collect()
     }
 
     fn execute(&mut self, conn: Key<Connection>) {
-        let Some(wire) = self.wires.get_mut(&conn) else {
+        let Some(link) = self.links.get_mut(&conn) else {
             return;
         };
-        let closed = matches!(wire.events.back(), Some(Event::Closed { .. }));
-        let server = &mut self.servers[wire.server];
+        let closed = matches!(link.events.back(), Some(Event::Closed { .. }));
+        let server = &mut self.servers[link.server];
         if !server.alive || closed {
             return;
         }
-        if !wire.standing {
+        if !link.standing {
             return;
         }
-        wire.execute(server, &mut self.oracle);
-        self.oracle.observe(wire.server, server);
+        link.execute(server, &mut self.oracle);
+        self.oracle.observe(link.server, server);
     }
 
     fn deliver(&mut self, conn: Key<Connection>) {
-        let Some(wire) = self.wires.get_mut(&conn) else {
+        let Some(link) = self.links.get_mut(&conn) else {
             return;
         };
-        let closing = matches!(wire.events.front(), Some(Event::Closed { .. }));
-        if !wire.standing && !closing {
-            if self.servers[wire.server].alive {
-                wire.standing = true;
+        let closing = matches!(link.events.front(), Some(Event::Closed { .. }));
+        if !link.standing && !closing {
+            if self.servers[link.server].alive {
+                link.standing = true;
                 self.feed(Event::Opened { conn });
             } else {
-                self.wires.remove(&conn);
+                self.links.remove(&conn);
                 self.feed(Event::Closed { conn });
             }
             return;
         }
-        if wire.paused {
+        if link.paused {
             return;
         }
-        let Some(event) = wire.events.pop_front() else {
+        let Some(event) = link.events.pop_front() else {
             return;
         };
         match event {
             Event::Cycle { .. } => {
-                wire.due -= 1;
-                wire.runs = false;
+                link.due -= 1;
+                link.runs = false;
             }
-            Event::Closed { .. } => drop(self.wires.remove(&conn)),
+            Event::Closed { .. } => drop(self.links.remove(&conn)),
             _ => {}
         }
         self.feed(event);
     }
 
     fn step_probe(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let passing = |index: &usize| !self.lost[self.probed(&self.probes[*index])];
+        let passing = |index: &usize| !self.unreachable[self.probed(&self.probes[*index])];
         let passing: Vec<_> = (0..self.probes.len()).filter(passing).collect();
         if passing.is_empty() {
             return Ok(());
@@ -410,13 +411,13 @@
         match probe {
             Probe::Answered { status, sent } => self.feed(Event::Status { status, sent }),
             Probe::Asked { server, sent } => {
-                let asked = &self.servers[server];
-                if asked.alive {
-                    let status = asked.status(self.now);
+                let target = &self.servers[server];
+                if target.alive {
+                    let status = target.status(self.now);
                     self.probes.push(Probe::Answered { status, sent });
                 } else {
-                    let server = asked.name.clone();
-                    self.feed(Event::Unreached { server, trouble: Trouble::Refused });
+                    let server = target.name.clone();
+                    self.feed(Event::Unreachable { server, outage: Outage::Refused });
                 }
             }
         }
@@ -430,7 +431,7 @@
         let reaches = source.alive && !source.cut && source.role == Role::Primary;
         let replica = &self.servers[index];
         let takes = replica.alive && !replica.cut && replica.term == source.term;
-        self.oracle.acknowledge_elsewhere(self.now);
+        self.oracle.acknowledge_other_writes(self.now);
         if reaches && takes {
             let log = source.log.clone();
             self.servers[index].copy(&log, count, self.now);
@@ -468,8 +469,8 @@
             self.revive(index);
             self.servers[index].cut = false;
         }
-        self.ghosts.clear();
-        self.lost = [false; SERVERS];
+        self.detached.clear();
+        self.unreachable = [false; SERVERS];
         self.term = Term(self.term.0 + 1);
         self.failover = Some(Failover { term: self.term, fenced: Vec::new(), primary: None });
         for target in (0..SERVERS).cycle().take(SERVERS * 6) {
@@ -486,9 +487,9 @@
             self.credit_all();
             self.progress();
         }
-        for (key, asked) in &self.oracle.asked {
-            let owed = !asked.abandoned && self.fronts.contains(&key.0);
-            assert!(asked.ended || !owed, "request {} never ended", asked.id);
+        for (key, request) in &self.oracle.requests {
+            let owed = !request.abandoned && self.fronts.contains(&key.0);
+            assert!(request.ended || !owed, "request {} never ended", request.id);
         }
         let primary = self.servers.iter().max_by_key(|server| server.last()).expect("servers");
         self.oracle.check_log(primary);
@@ -505,10 +506,10 @@
         for _ in 0..300 {
             self.progress();
         }
-        assert!(self.group.is_over(), "a planned stop left something open");
+        assert!(self.group.is_drained(), "a planned stop left something open");
     }
 }
 
-fn is_busy(wire: &Wire) -> bool {
-    !wire.standing || !wire.jobs.is_empty() || !wire.events.is_empty()
+fn is_busy(link: &Link) -> bool {
+    !link.standing || !link.jobs.is_empty() || !link.events.is_empty()
 }
--- a/components/keeper/tests/fuzz/world/fault.rs
+++ b/components/keeper/tests/fuzz/world/fault.rs
@@ -5,33 +5,35 @@
 use keeper::{Connection, Event, Front, Lease};
 
 use super::{CALLERS, Failover, SERVERS, World};
+use crate::link::{Job, Link};
 use crate::server::Server;
-use crate::wire::{Job, Wire};
 
 impl World {
     /// Whether a write that a broken connection left may still be acknowledged.
-    pub(super) fn may_write(&self, id: u64, term: Term, ghost: &Wire) -> bool {
-        let waits =
-            ghost.jobs.iter().any(|job| matches!(job, Job::Run { id: other, .. } if *other == id));
-        let server = &self.servers[ghost.server];
+    pub(super) fn may_write(&self, id: u64, term: Term, detached: &Link) -> bool {
+        let waits = detached
+            .jobs
+            .iter()
+            .any(|job| matches!(job, Job::Run { id: other, .. } if *other == id));
+        let server = &self.servers[detached.server];
         let leads = server.alive && server.term == term && server.role == Role::Primary;
         let left = self.servers.iter().filter(|other| other.term > term).count();
         waits && leads && left < 2
     }
 
     /// Cuts one server off from the others, and the group from one or both of those.
-    pub(super) fn part(&mut self, index: usize, first: bool, second: bool) {
+    pub(super) fn partition(&mut self, index: usize, first: bool, second: bool) {
         for (other, server) in self.servers.iter_mut().enumerate() {
             server.cut = other == index;
         }
-        self.lost = [false; SERVERS];
-        self.lost[(index + 1) % SERVERS] = first || !second;
-        self.lost[(index + 2) % SERVERS] = second;
+        self.unreachable = [false; SERVERS];
+        self.unreachable[(index + 1) % SERVERS] = first || !second;
+        self.unreachable[(index + 2) % SERVERS] = second;
     }
 
     /// Cuts the primary off and replaces it; the group may still reach the
     /// replica that follows the new one.
-    pub(super) fn depose(&mut self, both: bool) {
+    pub(super) fn replace_primary(&mut self, both: bool) {
         let leads = |server: &Server| server.alive && server.role == Role::Primary;
         let primaries = (0..SERVERS).filter(|index| leads(&self.servers[*index]));
         let Some(old) = primaries.max_by_key(|index| self.servers[*index].term) else {
@@ -40,21 +42,21 @@
         let others = [(old + 1) % SERVERS, (old + 2) % SERVERS];
         let heir = others.into_iter().max_by_key(|index| self.servers[*index].last());
         let second = heir == Some(others[1]);
-        self.part(old, both || !second, both || second);
+        self.partition(old, both || !second, both || second);
         self.term = Term(self.term.0 + 1);
         self.failover = Some(Failover { term: self.term, fenced: Vec::new(), primary: None });
         for target in others.into_iter().cycle().take(6) {
             self.advance(target);
         }
-        self.write_elsewhere();
+        self.write_by_other_keeper();
         for target in others.into_iter().cycle().take(8) {
             self.replicate(target, 1);
         }
     }
 
-    pub(super) fn join(&mut self) {
+    pub(super) fn heal(&mut self) {
         self.servers.iter_mut().for_each(|server| server.cut = false);
-        self.lost = [false; SERVERS];
+        self.unreachable = [false; SERVERS];
     }
 
     /// A caller leaves; a new one takes its place.
@@ -64,70 +66,70 @@
         self.feed(Event::Leave { front, caller: number as u64 });
     }
 
-    pub(super) fn vanish(&mut self, index: usize) {
+    pub(super) fn disconnect_front(&mut self, index: usize) {
         let gone = self.fronts[index];
         for number in (0..CALLERS).filter(|number| number % 2 == index) {
             self.forget(number);
         }
         self.fronts[index] = Front(gone.0 + 2);
-        self.feed(Event::Gone { front: gone });
+        self.feed(Event::Disconnected { front: gone });
     }
 
     /// A connection breaks; what the server has answered may be cut.
-    pub(super) fn break_wire(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.wires.is_empty() {
+    pub(super) fn break_link(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        if self.links.is_empty() {
             return Ok(());
         }
-        let index = u.choose_index(self.wires.len())?;
-        let conn = *self.wires.keys().nth(index).expect("an index in range");
+        let index = u.choose_index(self.links.len())?;
+        let conn = *self.links.keys().nth(index).expect("an index in range");
         let kept = u.int_in_range(0..=3)?;
-        self.snap(conn, kept);
+        self.break_conn(conn, kept);
         Ok(())
     }
 
-    pub(super) fn snap(&mut self, conn: Key<Connection>, kept: usize) {
-        let Some(wire) = self.wires.get_mut(&conn) else {
+    pub(super) fn break_conn(&mut self, conn: Key<Connection>, kept: usize) {
+        let Some(link) = self.links.get_mut(&conn) else {
             return;
         };
-        if matches!(wire.events.back(), Some(Event::Closed { .. })) {
+        if matches!(link.events.back(), Some(Event::Closed { .. })) {
             return;
         }
-        let mut ghost = Wire::new(conn, wire.server);
-        std::mem::swap(&mut ghost.jobs, &mut wire.jobs);
-        ghost.open = wire.open.take();
-        wire.events.truncate(kept);
-        wire.events.push_back(Event::Closed { conn });
-        wire.paused = false;
-        if wire.standing && !ghost.jobs.is_empty() {
-            self.ghosts.push((self.servers[ghost.server].term, ghost));
+        let mut detached = Link::new(conn, link.server);
+        std::mem::swap(&mut detached.jobs, &mut link.jobs);
+        detached.open = link.open.take();
+        link.events.truncate(kept);
+        link.events.push_back(Event::Closed { conn });
+        link.paused = false;
+        if link.standing && !detached.jobs.is_empty() {
+            self.detached.push((self.servers[detached.server].term, detached));
         }
     }
 
     /// A server runs what a broken connection left it, unless it was fenced since.
-    pub(super) fn step_ghost(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.ghosts.is_empty() {
+    pub(super) fn step_detached(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        if self.detached.is_empty() {
             return Ok(());
         }
-        let (term, mut ghost) = self.ghosts.swap_remove(u.choose_index(self.ghosts.len())?);
-        let server = &mut self.servers[ghost.server];
+        let (term, mut detached) = self.detached.swap_remove(u.choose_index(self.detached.len())?);
+        let server = &mut self.servers[detached.server];
         if server.alive && server.term == term {
-            ghost.execute(server, &mut self.oracle);
-            self.oracle.observe(ghost.server, server);
+            detached.execute(server, &mut self.oracle);
+            self.oracle.observe(detached.server, server);
         }
         Ok(())
     }
 
     /// Another keeper writes at the primary of the highest term.
-    pub(super) fn write_elsewhere(&mut self) {
+    pub(super) fn write_by_other_keeper(&mut self) {
         let leads = |server: &Server| server.alive && server.role == Role::Primary;
         let primaries = (0..SERVERS).filter(|index| leads(&self.servers[*index]));
         if let Some(index) = primaries.max_by_key(|index| self.servers[*index].term) {
             self.servers[index].append(vec![self.next]);
-            self.oracle.elsewhere.push(self.next);
+            self.oracle.other_writes.push(self.next);
             self.oracle.observe(index, &self.servers[index]);
             self.next += 1;
         }
-        self.oracle.acknowledge_elsewhere(self.now);
+        self.oracle.acknowledge_other_writes(self.now);
     }
 
     pub(super) fn step_failover(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
@@ -194,13 +196,13 @@
 
     pub(super) fn crash(&mut self, index: usize) {
         self.servers[index].alive = false;
-        self.ghosts.retain(|(_, ghost)| ghost.server != index);
+        self.detached.retain(|(_, detached)| detached.server != index);
         let conns: Vec<_> =
-            self.wires.values().filter(|w| w.server == index).map(|w| w.conn).collect();
+            self.links.values().filter(|w| w.server == index).map(|w| w.conn).collect();
         for conn in conns {
-            self.snap(conn, 1);
+            self.break_conn(conn, 1);
         }
-        self.ghosts.retain(|(_, ghost)| ghost.server != index);
+        self.detached.retain(|(_, detached)| detached.server != index);
     }
 
     pub(super) fn revive(&mut self, index: usize) {
--- a/components/keeper/tests/fuzz/world/ask.rs
+++ b/components/keeper/tests/fuzz/world/request.rs
@@ -7,24 +7,24 @@
 use wire::data::{Class, End, Run};
 
 use super::{AGE_MS, CALLERS, Caller, DEADLINE_MS, World};
-use crate::oracle::{Asked, Verb};
+use crate::oracle::{Request, Verb};
 
 impl World {
     pub(super) fn end(&mut self, front: Front, end: &End) {
         assert!(self.fronts.contains(&front), "an end to a front that is gone");
-        let asked = self.oracle.end(self.now, front, end, &self.servers);
-        assert!(!asked.abandoned, "an end to a caller that is gone");
-        let caller = &mut self.callers[asked.caller];
+        let request = self.oracle.end(self.now, front, end, &self.servers);
+        assert!(!request.abandoned, "an end to a caller that is gone");
+        let caller = &mut self.callers[request.caller];
         caller.open = None;
         caller.within = end.status != u32::from(b'I');
         caller.floor = caller.floor.max(end.mark.map(Mark::from));
         let done = end.outcome() == wire::data::Outcome::Done;
-        let reply = asked.reply.filter(|_| done);
+        let reply = request.reply.filter(|_| done);
         let wrote = reply.is_some_and(|reply| !self.oracle.replies[reply as usize].failed);
-        match asked.verb {
-            Verb::Write if wrote && asked.within => caller.ops.push(asked.id),
-            Verb::Write if wrote => drop(caller.known.insert(asked.id)),
-            Verb::Commit if wrote => caller.known.extend(asked.ops.iter().copied()),
+        match request.verb {
+            Verb::Write if wrote && request.within => caller.ops.push(request.id),
+            Verb::Write if wrote => drop(caller.known.insert(request.id)),
+            Verb::Commit if wrote => caller.known.extend(request.ops.iter().copied()),
             _ => {}
         }
         if !caller.within {
@@ -79,7 +79,7 @@
         };
         let since = if aged { Some(self.now - Duration::from_millis(AGE_MS)) } else { None };
         let since = if fresh { Some(self.now) } else { since };
-        let asked = Asked {
+        let request = Request {
             id,
             verb,
             class,
@@ -98,7 +98,7 @@
         }
         self.next += 1;
         caller.open = Some(id);
-        self.oracle.asked.insert((front, id), asked);
+        self.oracle.requests.insert((front, id), request);
         self.feed(Event::Run { front, run });
         Ok(())
     }
@@ -106,13 +106,13 @@
     pub(super) fn forget(&mut self, number: usize) {
         let caller = &mut self.callers[number];
         let front = self.fronts[caller.front];
-        let open = caller.open.and_then(|id| self.oracle.asked.get_mut(&(front, id)));
-        let commits = open.as_ref().is_some_and(|asked| asked.verb == Verb::Commit);
-        if let Some(asked) = open {
-            asked.abandoned = true;
+        let open = caller.open.and_then(|id| self.oracle.requests.get_mut(&(front, id)));
+        let commits = open.as_ref().is_some_and(|request| request.verb == Verb::Commit);
+        if let Some(request) = open {
+            request.abandoned = true;
         }
         if caller.within && !commits {
-            self.oracle.never.extend(caller.ops.iter().copied());
+            self.oracle.forbidden.extend(caller.ops.iter().copied());
         }
         *caller = Caller { front: caller.front, ..Caller::default() };
     }
--- a/components/keeper/tests/group.rs
+++ b/components/keeper/tests/group.rs
@@ -6,8 +6,7 @@
 use bytes::Bytes;
 use config::Declarations;
 use keeper::{
-    Cause, Connection, Count, Effect, Event, Front, Group, Kind, Lease, Piece, Setup, Trouble,
-    event,
+    Cause, Connection, Count, Effect, Event, Front, Group, Kind, Lease, Outage, Piece, Setup, event,
 };
 use wire::control::{Sight, Symptom};
 use wire::data::{Class, End, Outcome, Reason, Run};
@@ -96,7 +95,7 @@
             servers,
             lease: Lease::Held,
             declarations: Arc::new(self.declared.clone()),
-            solo: None,
+            unfenced: None,
         }));
     }
 
@@ -372,8 +371,8 @@
 #[test]
 fn a_symptom_is_reported_when_it_changes_and_again_while_it_lasts() {
     let mut bench = Bench::ready(3);
-    let (server, trouble) = (name("server-0"), Trouble::Refused);
-    bench.feed(Event::Unreached { server, trouble });
+    let (server, outage) = (name("server-0"), Outage::Refused);
+    bench.feed(Event::Unreachable { server, outage });
     assert_eq!(sights(&mut bench.out), [Sight::Refused]);
     bench.pass(500);
     assert!(sights(&mut bench.out).is_empty());
--- a/components/keeper/tests/solo/bench.rs
+++ b/components/keeper/tests/unfenced/bench.rs
@@ -6,7 +6,9 @@
 use bytes::Bytes;
 use config::{Database, Declarations, Limits};
 use keeper::event;
-use keeper::{Connection, Effect, Event, Front, Group, Kind, Lease, Piece, Reported, Setup, Solo};
+use keeper::{
+    Connection, Effect, Event, Front, Group, Kind, Lease, Piece, Reported, Setup, Unfenced,
+};
 use plain::Fault;
 use wire::control::Sight;
 use wire::data::{Class, End, Run};
@@ -61,7 +63,7 @@
         servers: seats.to_vec(),
         lease: Lease::Held,
         declarations: Arc::new(declarations()),
-        solo: Some(Solo { term: Term(term), index }),
+        unfenced: Some(Unfenced { term: Term(term), index }),
     }
 }
 
--- a/components/keeper/tests/solo/overload.rs
+++ b/components/keeper/tests/unfenced/overload.rs
@@ -8,7 +8,7 @@
 use crate::bench::Bench;
 
 /// The end of a request.
-struct Told {
+struct Finished {
     end: End,
     /// When it came, from the first on, and how long it took.
     came: Duration,
@@ -17,7 +17,7 @@
 
 /// Reads that take `run` milliseconds each come in faster than the servers can
 /// run them; what becomes of each.
-fn overload(run: u64, every: u64, count: u64) -> Vec<Told> {
+fn overload(run: u64, every: u64, count: u64) -> Vec<Finished> {
     let mut bench = Bench::with_slots(2);
     let mut ends = Vec::new();
     let mut came = std::collections::HashMap::new();
@@ -36,7 +36,7 @@
         let mut kept = std::mem::take(&mut bench.out);
         bench.out = kept.extract_if(.., |effect| matches!(effect, Effect::Send { .. })).collect();
         ends.extend(kept.into_iter().filter_map(|effect| match effect {
-            Effect::End { end, .. } => Some(Told {
+            Effect::End { end, .. } => Some(Finished {
                 came: came[&end.request].since(began),
                 took: now.since(came[&end.request]),
                 end,
@@ -97,7 +97,7 @@
     let ends = overload(40, 5, 400);
     assert_eq!(ends.len(), 400);
     let mut refused = 0;
-    for Told { end, came, took } in &ends {
+    for Finished { end, came, took } in &ends {
         if end.outcome() == Outcome::Done {
             // the objective, the run itself and the clock's steps, once it is
             // known how long such a read runs
--- a/components/keeper/tests/solo/reach.rs
+++ b/components/keeper/tests/unfenced/reach.rs
@@ -1,7 +1,7 @@
 //! Servers that can't be reached or leave statements without an answer.
 
 use base::prelude::*;
-use keeper::{Event, Trouble};
+use keeper::{Event, Outage};
 use wire::control::Sight;
 use wire::data::{Class, Run};
 
@@ -12,8 +12,8 @@
     let mut bench = Bench::ready();
     let request = bench.read(1_000, None);
     let (conn, server, ..) = bench.sent()[0].clone();
-    let trouble = Trouble::Refused;
-    bench.feed(Event::Unreached { server: name(&server), trouble });
+    let outage = Outage::Refused;
+    bench.feed(Event::Unreachable { server: name(&server), outage });
     bench.feed(Event::Closed { conn });
     bench.pass(100);
     let sent = bench.sent();
@@ -57,7 +57,7 @@
     let before = bench.conns.len();
     // the last attempt of a cut fails after another one has opened
     for server in ["server-1", "server-2"] {
-        bench.feed(Event::Unreached { server: name(server), trouble: Trouble::Silent });
+        bench.feed(Event::Unreachable { server: name(server), outage: Outage::Silent });
     }
     bench.pass(50);
     let opened = bench.conns[before..].to_vec();
@@ -80,7 +80,7 @@
     let mut bench = Bench::ready();
     let before = bench.conns.len();
     let mut tries = 0;
-    bench.feed(Event::Unreached { server: name("server-1"), trouble: Trouble::Silent });
+    bench.feed(Event::Unreachable { server: name("server-1"), outage: Outage::Silent });
     for _ in 0..300 {
         bench.pass(10);
         let opening = bench.conns.split_off(before);
@@ -88,7 +88,7 @@
         assert!(opening.len() <= 1, "{opening:?}");
         tries += opening.len();
         for (conn, server) in opening {
-            bench.feed(Event::Unreached { server, trouble: Trouble::Silent });
+            bench.feed(Event::Unreachable { server, outage: Outage::Silent });
             bench.feed(Event::Closed { conn });
         }
     }
