--- a/components/keeper/src/admission.rs
+++ b/components/keeper/src/admission.rs
@@ -1,4 +1,5 @@
-//! What fronts ask: requests, credit, cancels, and callers that leave.
+//! Admission of requests from fronts, flow-control credit, cancels, and callers
+//! that disconnect.
 
 use base::prelude::*;
 use wire::data::{End, Outcome, Reason, Run};
@@ -9,13 +10,14 @@
 use crate::request::{Lane, Request, Stage};
 use crate::service::Service;
 
-/// Time after which it is worth asking again when the lease is lost.
+/// Retry delay sent to callers while the entry does not hold its lease.
 const LEASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Time after which it is worth asking again when the queue is full.
+/// Retry delay sent to callers whose service has a full queue.
 pub(crate) const QUEUE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Why a request is not taken.
+/// A request that is not admitted: the reason, the transaction status and the
+/// retry delay sent to the caller.
 struct Refusal {
     reason: Reason,
     status: u8,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Puts a request where it waits for its first or next try.
+    /// Queues a request for its first attempt or for a retry.
     pub(crate) fn enqueue(
         &mut self,
         now: Instant,
@@ -91,7 +93,7 @@
         self.queue(key, Lane::Primary);
     }
 
-    /// Puts a request at the end of its service's flow in a lane.
+    /// Appends a request to its service's flow in a lane.
     pub(crate) fn queue(&mut self, key: Key<Request>, lane: Lane) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Forgets one caller of a front, or all of them.
+    /// Abandons the requests and transactions of one caller of a front, or of
+    /// all its callers if `caller` is `None`.
     pub(crate) fn leave(
         &mut self,
         now: Instant,
@@ -148,15 +151,15 @@
         caller: Option<u64>,
         out: &mut Vec<Effect>,
     ) {
-        let meant = |other: Front, number: u64| {
+        let is_affected = |other: Front, number: u64| {
             other == front && caller.is_none_or(|caller| caller == number)
         };
-        let mine = self.requests.iter().filter(|(_, r)| meant(r.front, r.run.caller));
-        let mine: Vec<_> = mine.map(|(key, _)| key).collect();
-        for key in mine {
+        let affected = self.requests.iter().filter(|(_, r)| is_affected(r.front, r.run.caller));
+        let affected: Vec<_> = affected.map(|(key, _)| key).collect();
+        for key in affected {
             self.orphan(now, key, out);
         }
-        let pins = self.pins.iter().filter(|((other, number), _)| meant(*other, *number));
+        let pins = self.pins.iter().filter(|((other, number), _)| is_affected(*other, *number));
         let mut pins: Vec<_> = pins.map(|(_, conn)| *conn).collect();
         pins.sort_unstable();
         for conn in pins {
@@ -164,7 +167,8 @@
         }
     }
 
-    /// Lets a request go on without anyone to answer to.
+    /// Detaches a request from its caller. A request that was already sent
+    /// still runs to its end.
     fn orphan(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -180,7 +184,8 @@
         }
     }
 
-    /// Rolls an open transaction back whose caller has gone.
+    /// Rolls back the open transaction of a caller that has disconnected or
+    /// started a new request outside of it.
     pub(crate) fn abandon(&mut self, now: Instant, key: Key<Connection>, out: &mut Vec<Effect>) {
         self.unpin(key);
         if let Some(Work::Pinned(_)) = self.conns.get(key).map(|conn| conn.work) {
@@ -188,7 +193,8 @@
         }
     }
 
-    /// The request's service, if the request may wait here at all.
+    /// Returns the request's service if the request may be queued in this
+    /// group.
     fn admit(
         &mut self,
         run: &Run,
@@ -206,7 +212,7 @@
         Ok(key)
     }
 
-    /// The service of a name; none is made that is not declared.
+    /// Returns the service of that name, creating its state if it is declared.
     fn service(&mut self, name: &str) -> Option<Key<Service>> {
         if let Some(key) = self.services_by_name.get(name) {
             return Some(*key);
@@ -242,7 +248,8 @@
         if idle && !waits {
             return None;
         }
-        // requests of one session run in turn: the front broke that
+        // a front sends the requests of one session in turn, so a second one within the
+        // transaction is an error of the front
         Some(Refusal { status: conn.status, ..Refusal::new(Reason::QueueFull) })
     }
 
--- a/components/keeper/src/conn.rs
+++ b/components/keeper/src/conn.rs
@@ -7,61 +7,62 @@
 use crate::server::Server;
 use crate::service::Service;
 
-/// Status byte of ReadyForQuery outside of a transaction.
+/// ReadyForQuery status byte outside of a transaction.
 pub(crate) const IDLE: u8 = b'I';
 
-/// Status byte of ReadyForQuery in a transaction.
+/// ReadyForQuery status byte in a transaction.
 pub(crate) const IN_TRANSACTION: u8 = b'T';
 
-/// A caller, by its link and session.
+/// A caller, identified by its front and its session number.
 pub(crate) type Owner = (Front, u64);
 
-/// Where a transaction began.
+/// The term and server role at the start of a transaction.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Origin {
     pub(crate) term: Term,
-    /// Whether its server was taken for the primary.
+    /// Whether the server was considered the primary.
     pub(crate) primary: bool,
 }
 
-/// One connection, as its group knows it.
+/// A connection to a backend server, as its group tracks it.
 #[derive(Debug)]
 pub struct Connection {
     pub(crate) server: Key<Server>,
     pub(crate) work: Work,
     /// Status byte of the last ReadyForQuery.
     pub(crate) status: u8,
-    /// Caller whose transaction is open on it.
+    /// Caller whose transaction is open on the connection.
     pub(crate) owner: Option<Owner>,
-    /// Term in which that transaction began.
+    /// Term in which the open transaction began.
     pub(crate) term: Term,
-    /// Whether it began on the primary; it stays a primary's to its end, also
-    /// where control names none any more.
+    /// Whether the open transaction began on the primary. The flag holds until
+    /// the transaction ends, even if control no longer names a primary.
     pub(crate) primary: bool,
     pub(crate) service: Option<Key<Service>>,
     pub(crate) paused: bool,
 }
 
-/// What a connection does.
+/// Current activity of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Work {
-    /// It is being opened.
+    /// The connection is being opened.
     Opening,
-    /// Nothing, since then.
+    /// Idle since the given time.
     Idle(Instant),
-    /// It runs a request's cycle.
+    /// Runs the cycle of a request.
     Busy(Key<Request>),
-    /// It is asked for a mark after the request's cycle.
+    /// Reads the server's log position after the cycle of a request.
     Marking(Key<Request>),
-    /// It is asked where its server stands.
+    /// Reads the server's log position for a sample, since the given time.
     Sampling(Instant),
-    /// It holds a transaction open, idle since then.
+    /// Holds an open transaction that has been idle since the given time.
     Pinned(Instant),
-    /// It rolls back; closed if that is not confirmed by then.
+    /// Rolls back a transaction; closed if the rollback is not confirmed by the
+    /// given time.
     RollingBack(Instant),
-    /// It is being closed; a statement may still run on it at the server.
+    /// The connection is being closed. A statement may still run on the server.
     Closing {
-        /// Whether one ran when it was told to close.
+        /// Whether a statement was running when the close was requested.
         uses_slot: bool,
     },
 }
@@ -80,12 +81,13 @@
         }
     }
 
-    /// Whether it is being closed.
+    /// Whether the connection is being closed.
     pub(crate) fn is_closing(&self) -> bool {
         matches!(self.work, Work::Closing { .. })
     }
 
-    /// Whether it takes one of the server's slots; a mark takes none.
+    /// Whether the connection occupies one of the server's slots. Reading the
+    /// log position after a cycle needs no slot.
     pub(crate) fn uses_slot(&self) -> bool {
         matches!(
             self.work,
--- a/components/keeper/src/cycle.rs
+++ b/components/keeper/src/cycle.rs
@@ -1,5 +1,5 @@
-//! What connections report: pieces of answers, ends of cycles, marks, and
-//! their own opening and closing.
+//! Events of connections: pieces of answers, ends of cycles, marks, opening and
+//! closing.
 
 use base::prelude::*;
 use wire::data::{Class, Outcome, Part, Reason};
@@ -9,7 +9,8 @@
 use crate::group::Group;
 use crate::request::{Completion, MAX_HELD_BYTES, Request, Stage};
 
-/// What ReadyForQuery closed a cycle with.
+/// Contents of the ReadyForQuery that ended a cycle: its status byte, and
+/// whether an error preceded it.
 #[derive(Clone, Copy, Debug)]
 struct Ready {
     status: u8,
@@ -192,7 +193,8 @@
         out.push(Effect::Mark { conn });
     }
 
-    /// Ends a request whose cycle is over, or lets it wait for a majority.
+    /// Finishes a request whose cycle has ended, or makes it wait until a
+    /// majority confirms it.
     fn complete_request(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -241,8 +243,8 @@
         self.resolve(now, out);
     }
 
-    /// Closes a connection in the middle: something came out of order on it, or
-    /// its primary was replaced.
+    /// Closes a connection during its cycle or transaction, after a message out
+    /// of order or because its primary was replaced.
     pub(crate) fn abort_conn(
         &mut self,
         now: Instant,
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Decides on a request whose connection broke.
+    /// Determines the outcome of a request whose connection was lost.
     fn connection_lost(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -270,7 +272,7 @@
         }
         let read = request.class == Class::Read && !request.run.within;
         if self.unfenced.is_some() && !read {
-            // no history tells what became of it
+            // an unfenced server keeps no history of terms, so the outcome stays unknown
             return self.finish(now, key, Outcome::Unknown, Reason::Broken, out);
         }
         if read || !request.attempt.primary {
@@ -288,7 +290,8 @@
         self.resolve(now, out);
     }
 
-    /// Ends requests that waited for a connection that is gone.
+    /// Finishes requests that waited for the open transaction of a lost
+    /// connection.
     pub(crate) fn drop_urgent(
         &mut self,
         now: Instant,
--- a/components/keeper/src/dispatch.rs
+++ b/components/keeper/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! What is sent next, and how many connections stand open.
+//! Dispatch of queued requests to connections, and the number of open
+//! connections.
 
 use admit::{Queue, Verdict};
 use base::prelude::*;
@@ -12,17 +13,19 @@
 use crate::server::Server;
 use crate::service::Service;
 
-/// Idle connections kept beyond the number of slots.
+/// Idle connections kept per server in addition to one for each slot.
 const SPARE_CONNECTIONS: u32 = 1;
 
-/// Connections of one server that are opened at once.
+/// Maximum number of connections to one server that are being opened at the
+/// same time.
 const MAX_OPENING: u32 = 4;
 
-/// Time after which an idle connection beyond the warm ones is closed.
+/// Time after which an idle connection beyond the number to keep is closed.
 const IDLE_LIMIT: Duration = Duration::from_secs(10);
 
 impl Group {
-    /// Sends what can be sent and keeps connections ahead of need.
+    /// Sends all requests that can run now, then opens and closes connections
+    /// to match demand.
     pub(crate) fn dispatch(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let servers: Vec<_> = self.servers.iter().map(|(key, _)| key).collect();
         for server in &servers {
@@ -38,7 +41,8 @@
         }
     }
 
-    /// Statements of open transactions go ahead of all else.
+    /// Sends statements of open transactions, which have precedence over all
+    /// other work.
     fn dispatch_urgent(&mut self, now: Instant, key: Key<Server>, out: &mut Vec<Effect>) {
         while self.free_slots(key).max(self.min_slots(key)) > 0 {
             let next = self.servers.get_mut(key).and_then(|server| server.urgent.pop_front());
@@ -51,7 +55,8 @@
         }
     }
 
-    /// The idle connection on which a request's transaction is open.
+    /// Returns the connection that holds the request's open transaction, if it
+    /// is idle.
     fn pinned_for(&self, key: Key<Request>) -> Option<Key<Connection>> {
         let request = self.requests.get(key)?;
         let Stage::Urgent(key) = request.stage else {
@@ -62,7 +67,8 @@
         free.then_some(key)
     }
 
-    /// A transaction can finish also where the slots were taken away.
+    /// Allows one statement at a time on a server without slots, so that open
+    /// transactions can finish after its slots were withdrawn.
     fn min_slots(&self, key: Key<Server>) -> u32 {
         let shared = self.servers.get(key).is_some_and(|server| server.slots > 0);
         u32::from(!shared && self.running(key) == 0)
@@ -140,7 +146,7 @@
         Verdict::Take
     }
 
-    /// Lets a read wait anew for a server that qualifies.
+    /// Parks a read again until a replica qualifies.
     fn park(&mut self, key: Key<Request>) {
         if let Some(request) = self.requests.get_mut(key) {
             request.stage = Stage::Parked;
@@ -148,7 +154,7 @@
         }
     }
 
-    /// Sends a request on a connection that is free for it.
+    /// Sends a request on an idle connection.
     fn send(
         &mut self,
         now: Instant,
@@ -222,16 +228,17 @@
             return attempt;
         }
         if attempt.primary && !request.run.within {
-            let blind = request.class != Class::Read && request.floor.is_none();
-            let since = if blind { Some(request.arrived) } else { request.sampled_since(now) };
+            let blind_write = request.class != Class::Read && request.floor.is_none();
+            let since =
+                if blind_write { Some(request.arrived) } else { request.sampled_since(now) };
             attempt.verify_since = since;
         }
         attempt
     }
 
-    /// Opens connections ahead of need, and one to a server that could not be
-    /// reached: no work goes there before, so nothing else would tell that it
-    /// can be.
+    /// Opens connections ahead of demand. A server that could not be reached
+    /// gets one trial connection: no requests are sent to such a server, so
+    /// nothing else would show that it has recovered.
     fn connect(&mut self, now: Instant, key: Key<Server>, out: &mut Vec<Effect>) {
         if !self.may_keep_idle(key) {
             return;
@@ -260,14 +267,14 @@
         }
     }
 
-    /// Closes an idle connection, so that another may be opened.
+    /// Closes an idle connection to make room for a new one.
     fn close_idle(&mut self, server: Key<Server>, out: &mut Vec<Effect>) {
         if let Some(conn) = self.idle(server) {
             self.close_conn(conn, out);
         }
     }
 
-    /// Closes idle connections that are too many.
+    /// Closes surplus idle connections.
     fn trim(&mut self, now: Instant, key: Key<Server>, out: &mut Vec<Effect>) {
         let Some(server) = self.servers.get(key) else {
             return;
@@ -292,7 +299,8 @@
         }
     }
 
-    /// Charges a service for the run time of a request.
+    /// Charges the run time of a request to its service in the fair queues, and
+    /// updates the typical run time.
     pub(crate) fn charge(&mut self, key: Key<Service>, primary: bool, run: Duration) {
         let charge = |queue: &mut Queue<_, _>| queue.charge(key, run);
         if primary {
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -1,4 +1,5 @@
-//! What a group is told, and what it asks of its host.
+//! Events that the host feeds to a group, and effects that the group requests
+//! from the host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,80 +13,83 @@
 
 use crate::conn::Connection;
 
-/// A link of a front; a number is never used twice.
+/// Identifies a link to the front half of an entry. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Front(pub u64);
 
-/// What happened.
+/// An event that the host passes to a group.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A front asks for one cycle.
+    /// A front requests the execution of one cycle.
     Run {
-        /// Who asks.
+        /// Front that sent the request.
         front: Front,
-        /// The cycle.
+        /// The request.
         run: Run,
     },
-    /// A front takes more of an answer.
+    /// A front accepts more bytes of an answer.
     Credit {
-        /// Who takes.
+        /// Front that grants the credit.
         front: Front,
         /// Number of the request.
         request: u64,
-        /// Bytes more.
+        /// Additional bytes that may be sent.
         bytes: u64,
     },
     /// A caller cancels a request.
     Cancel {
-        /// Its front.
+        /// Front of the caller.
         front: Front,
         /// Number of the request.
         request: u64,
     },
-    /// A caller has gone.
+    /// A caller has disconnected.
     Leave {
-        /// Its front.
+        /// Front of the caller.
         front: Front,
-        /// Number of its session.
+        /// Session number of the caller.
         caller: u64,
     },
-    /// A link has gone, and all its callers.
+    /// The link to a front was closed, and with it the sessions of all its
+    /// callers.
     Disconnected {
-        /// The link.
+        /// Front whose link was closed.
         front: Front,
     },
-    /// A connection stands and takes statements.
+    /// A connection is open and accepts statements.
     Opened {
         /// The connection.
         conn: Key<Connection>,
     },
-    /// A connection is closed, or never opened. Nothing of it follows.
+    /// A connection was closed or could not be opened. No further event of the
+    /// connection follows.
     Closed {
         /// The connection.
         conn: Key<Connection>,
     },
-    /// A piece of an answer.
+    /// A piece of an answer was received.
     Piece {
         /// The connection.
         conn: Key<Connection>,
         /// The piece.
         piece: Piece,
     },
-    /// ReadyForQuery came for a cycle.
+    /// ReadyForQuery ended a cycle.
     Cycle {
         /// The connection.
         conn: Key<Connection>,
-        /// Its status byte: I, T or E.
+        /// Status byte of ReadyForQuery: I, T or E.
         status: u8,
-        /// Whether an error came before it.
+        /// Whether an error preceded ReadyForQuery.
         failed: bool,
     },
-    /// A cycle is over, or a session stands, on a server that tells its position
-    /// with each answer. No [`Event::Opened`] comes of such a connection.
+    /// A cycle has ended, or a session was established, on a server that
+    /// reports its log position with each answer. [`Event::Opened`] is not sent
+    /// for such a connection.
     Reported {
         /// The connection.
         conn: Key<Connection>,
-        /// What the server told.
+        /// Contents of the report.
         reported: Reported,
     },
     /// The server's answer to [`Effect::Mark`].
@@ -95,158 +99,163 @@
         /// Last record of the server's log.
         mark: Mark,
     },
-    /// A server's report.
+    /// A server's status report was received.
     Status {
         /// The report.
         status: Status,
-        /// When it was asked for.
+        /// When the report was requested.
         sent: Instant,
     },
-    /// A server gave no report.
+    /// A status request or a connection attempt failed.
     Unreachable {
-        /// The server.
+        /// Name of the server.
         server: Name,
-        /// Why.
+        /// Kind of the failure.
         outage: Outage,
     },
     /// Servers, leases or declarations changed.
     Setup(Setup),
-    /// The entry's lease was lost or gained.
+    /// The entry gained (`true`) or lost (`false`) its lease.
     Leased(bool),
-    /// The process is to stop: nothing new is taken.
+    /// The process is shutting down: no new requests are admitted.
     Close,
-    /// Time passed.
+    /// The time requested by [`Effect::Wake`] was reached.
     Tick,
 }
 
-/// The end of a cycle on a server that tells its position.
+/// End of a cycle on a server that reports its log position with each answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reported {
-    /// Status byte: I, T or E.
+    /// Status byte of ReadyForQuery: I, T or E.
     pub status: u8,
-    /// The error that came before it, if one did.
+    /// Error that ended the cycle, if any.
     pub fault: Option<Fault>,
-    /// Last record that reads on the server show.
+    /// Last record visible to reads on the server.
     pub mark: Option<Mark>,
     /// When the first statement of the cycle was sent.
     pub sent: Instant,
 }
 
-/// Whole server messages of one answer, without ReadyForQuery.
+/// Complete server messages of one answer, without ReadyForQuery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece {
-    /// The messages.
+    /// The encoded messages.
     pub bytes: Bytes,
-    /// What is among them.
+    /// Progress of the cycle that the messages show.
     pub kind: Kind,
 }
 
-/// What a piece tells of its cycle.
+/// Progress of a cycle after a piece of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// No statement is complete by it.
+    /// No statement was completed.
     Plain,
-    /// A statement is complete.
+    /// A statement was completed.
     Complete,
-    /// A COMMIT is complete, or a statement that may commit by itself.
+    /// A COMMIT was completed, or a statement that may commit by itself.
     Commit,
 }
 
-/// Why a server gave no report.
+/// How a server failed to respond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Outage {
-    /// It refuses connections.
+    /// The server refused a connection.
     Refused,
-    /// It did not answer.
+    /// The server did not answer in time.
     Silent,
 }
 
-/// What the control log says of a group.
+/// State of one group in the control log, as it concerns one entry.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Number of servers that a majority is counted against.
+    /// Number of declared servers, of which a majority must confirm a write.
     pub declared: u32,
     /// Primary of the newest established term.
     pub primary: Option<Name>,
-    /// Servers that have a seat and announced themselves.
+    /// Members of the group that have announced themselves.
     pub servers: Vec<Server>,
-    /// This entry's lease on the group.
+    /// Lease of this entry on the group.
     pub lease: Lease,
     /// Declarations in force.
     pub declarations: Arc<Declarations>,
-    /// Set where the servers acknowledge by themselves. The primary is then
-    /// `None` while a change of it is under way.
+    /// Set if the servers acknowledge commits by themselves and can't be
+    /// fenced. `primary` is then `None` during a change of primary.
     pub unfenced: Option<Unfenced>,
 }
 
-/// What the control log says of a group whose servers acknowledge by themselves.
+/// State of an unfenced group in the control log: one whose servers acknowledge
+/// commits by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unfenced {
-    /// Term that is intended or established.
+    /// Intended or established term.
     pub term: Term,
-    /// Index of the control log that this stands at.
+    /// Index of the control log that the setup was taken from.
     pub index: u64,
 }
 
-/// An entry's lease on a group.
+/// State of an entry's lease on a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Lease {
-    /// It has none.
+    /// The entry has no lease.
     #[default]
     None,
-    /// It may use its shares.
+    /// The entry may use its shares of connections and slots.
     Held,
-    /// It is to finish and give them up.
+    /// The entry must finish its work and release its shares.
     Returning,
 }
 
-/// A server of a [`Setup`].
+/// A server in a [`Setup`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub name: Name,
-    /// Raised by each start of the server.
+    /// Incarnation of the server, incremented at each start.
     pub incarnation: u64,
-    /// Where it takes statements.
+    /// Address for client connections.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub zone: Name,
-    /// Its labels.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// Connections that this entry may hold.
+    /// Maximum number of connections of this entry.
     pub connections: u32,
-    /// Statements that this entry may run at once.
+    /// Maximum number of statements that this entry may run concurrently.
     pub slots: u32,
-    /// Slots of the entry's lease; less than `slots` where a server queues by
-    /// itself, so that keepers may use what others leave.
+    /// Slots that the entry's lease grants. Less than `slots` where the server
+    /// queues statements by itself, so that a keeper may use slots that other
+    /// keepers leave idle.
     pub share: u32,
-    /// Whether it is to get no new work.
+    /// Whether the server is to be removed and gets no new work.
     pub leaving: bool,
-    /// Whether its announcements stopped.
+    /// Whether the server has stopped announcing itself.
     pub expired: bool,
 }
 
-/// What the host is to do, in order.
+/// An action that the host must perform. Effects are performed in the order of
+/// their output.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Open a connection; [`Event::Opened`] or [`Event::Closed`] follows.
+    /// Open a connection. [`Event::Opened`], [`Event::Reported`] or
+    /// [`Event::Closed`] follows.
     Connect {
-        /// Its key.
+        /// Key of the new connection.
         conn: Key<Connection>,
         /// Server to connect to.
         server: Name,
-        /// Where it listens.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// Send client messages.
+    /// Send client messages to a server.
     Send {
         /// The connection.
         conn: Key<Connection>,
-        /// The messages of one cycle.
+        /// Messages of one cycle.
         bytes: Bytes,
-        /// What the server must show before it runs them, where it can wait.
+        /// Mark that the server must show before it runs the messages, where
+        /// the server can wait for one.
         wait: Option<Mark>,
     },
     /// Roll back the transaction that is open on a connection.
@@ -254,7 +263,7 @@
         /// The connection.
         conn: Key<Connection>,
     },
-    /// Ask for the server's last position on this connection.
+    /// Read the server's last log position on a connection.
     Mark {
         /// The connection.
         conn: Key<Connection>,
@@ -264,7 +273,7 @@
         /// The connection.
         conn: Key<Connection>,
     },
-    /// Ask the server to cancel what runs on a connection.
+    /// Ask the server to cancel the statement that runs on a connection.
     Cancel {
         /// The connection.
         conn: Key<Connection>,
@@ -274,106 +283,108 @@
         /// The connection.
         conn: Key<Connection>,
     },
-    /// Read from a connection again.
+    /// Resume reading from a connection.
     Resume {
         /// The connection.
         conn: Key<Connection>,
     },
     /// Send a part of an answer.
     Part {
-        /// Who gets it.
+        /// Front that receives the part.
         front: Front,
         /// The part.
         part: Part,
     },
     /// Send the end of an answer.
     End {
-        /// Who gets it.
+        /// Front that receives the end.
         front: Front,
         /// The end.
         end: End,
     },
-    /// Ask a server for a report at once.
+    /// Request a status report from a server immediately.
     Sample {
-        /// The server.
+        /// Name of the server.
         server: Name,
     },
-    /// Tell control what is seen of the primary.
+    /// Report a symptom of the primary to control.
     Report(Symptom),
-    /// Tell control that the work for earlier primaries is over.
+    /// Report to control that all work for earlier primaries has ended.
     Seal {
-        /// Term that is intended.
+        /// Intended term.
         term: Term,
         /// Highest mark that was acknowledged to a caller.
         mark: Option<Mark>,
-        /// Index of the control log at which that commit was sent.
+        /// Index of the control log when the commit of `mark` was sent.
         index: u64,
     },
-    /// Tick at this time.
+    /// Feed [`Event::Tick`] at the given time.
     Wake(Instant),
-    /// The lease is given up: no connection is left.
+    /// Release the lease: no connection is open any more.
     ReleaseLease,
-    /// Count something.
+    /// Increment a counter.
     Count(Count),
-    /// Log the end of a request that was not done, or not at the first try.
+    /// Log the end of a request that failed, was retried, or took longer than
+    /// its objective.
     Log(Ended),
 }
 
-/// How a request ended, and what decided it.
+/// Log record of the end of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// The request's id in logs.
+    /// Request id in logs.
     pub trace: String,
-    /// How it ended.
+    /// Outcome reported to the caller.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason for the outcome.
     pub reason: Reason,
-    /// How far it was.
+    /// Stage of the request when it ended.
     pub stage: &'static str,
-    /// Server that it was sent to last.
+    /// Server of the last attempt.
     pub server: Option<Name>,
-    /// Whether that was taken for the primary.
+    /// Whether `server` was considered the primary.
     pub primary: bool,
-    /// Tries before the last one.
+    /// Number of attempts before the last one.
     pub tries: u32,
-    /// Time since it came.
+    /// Time since the request arrived.
     pub waited: Duration,
-    /// Time since it was sent last.
+    /// Time since the last attempt was sent.
     pub sent: Option<Duration>,
-    /// Term that control has intended or established.
+    /// Term of the attempt; in an unfenced group, the term that control has
+    /// intended or established.
     pub term: Term,
     /// Whether control names a primary.
     pub led: bool,
     /// Whether the entry holds its lease.
     pub leased: bool,
-    /// Version of the configuration that admitted it.
+    /// Version of the configuration that admitted the request.
     pub version: u64,
-    /// Age of the youngest sample of the primary.
+    /// Age of the latest sample of the primary.
     pub sample: Option<Duration>,
 }
 
-/// Something counted.
+/// A counted event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Count {
-    /// A replica served a read.
+    /// A read was sent to a replica.
     ReplicaRead,
-    /// The primary served a read.
+    /// A read was sent to the primary.
     PrimaryRead(Cause),
-    /// A request was tried again.
+    /// A request was retried.
     Retry,
     /// A connection was opened.
     Opened,
 }
 
-/// Why a read went to the primary.
+/// Why a read was sent to the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Cause {
-    /// No replica that the service may reach can be used.
+    /// No replica that the service may reach is usable.
     NoReplica,
-    /// No replica shows the session's floor or the fresh sample.
+    /// No replica shows the mark of the session or of the fresh sample.
     Behind,
-    /// No replica is young enough.
+    /// The data of all replicas is older than the read accepts.
     Old,
     /// The replicas that qualify have no free slot.
     Busy,
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -1,4 +1,4 @@
-//! Ends of requests, repeats, and what passes with time.
+//! Ends of requests, retries, timeouts, and the release of connections.
 
 use base::prelude::*;
 use wire::data::{End, Outcome, Part, Reason};
@@ -10,14 +10,16 @@
 use crate::group::Group;
 use crate::request::{Attempt, Lane, Request, Stage};
 
-/// Time in which a rollback must be confirmed.
+/// Time within which a rollback must be confirmed before its connection is
+/// closed.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which it is worth asking again when no server could be used.
+/// Retry delay sent to callers when no server was usable, the deadline passed
+/// or the primary was replaced.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Group {
-    /// Ends a request. What was held back goes out only if it is done.
+    /// Ends a request. A held-back answer is sent only if the request is done.
     pub(crate) fn finish(
         &mut self,
         now: Instant,
@@ -47,7 +49,8 @@
         self.drain(key, out);
     }
 
-    /// Tells the log of an end that a caller may ask about.
+    /// Logs the end of a request that failed, was retried, or took longer than
+    /// its objective.
     fn log_end(
         &self,
         now: Instant,
@@ -83,8 +86,8 @@
         }));
     }
 
-    /// What may be told of a request: that it was not run, or that it failed,
-    /// only where no earlier try may have run.
+    /// Downgrades an outcome to `Unknown` if it says that the request was not
+    /// run or that it failed, and an earlier attempt may have run.
     fn reportable_outcome(&self, key: Key<Request>, outcome: Outcome) -> Outcome {
         let ran = self.requests.get(key).filter(|request| request.may_have_run);
         match outcome {
@@ -111,7 +114,7 @@
         let status = if done { attempt.status } else { self.status_of(request) };
         let seen = match (attempt.primary, &self.unfenced) {
             (true, _) => attempt.mark_after,
-            // a read says nothing of what the session must see later
+            // a read does not raise the mark that the session must see later
             (false, Some(_)) => None,
             (false, None) => attempt.mark,
         };
@@ -141,14 +144,16 @@
         }
     }
 
-    /// Status byte of the caller's transaction after a request that was not done.
+    /// Transaction status byte reported to the caller of a request that is not
+    /// done.
     fn status_of(&self, request: &Request) -> u8 {
         let pinned = self.pins.get(&request.owner()).and_then(|key| self.conns.get(*key));
         let waits = matches!(request.stage, Stage::Urgent(_));
         pinned.filter(|_| waits).map_or(IDLE, |conn| conn.status)
     }
 
-    /// Sends what an ended request still holds, as far as its window goes.
+    /// Sends the held-back answer of an ended request as far as its window
+    /// allows, then its end.
     pub(crate) fn drain(&mut self, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -181,7 +186,8 @@
         }
     }
 
-    /// Lets a request be tried again, if none of its answer went out.
+    /// Schedules a retry of a request. Returns false if part of its answer was
+    /// already sent, the deadline passed, or the retry budget is spent.
     pub(crate) fn retry(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) -> bool {
         let Some(request) = self.requests.get_mut(key) else {
             return false;
@@ -201,7 +207,8 @@
         true
     }
 
-    /// Takes what time brings: deadlines, waits that are over, idle transactions.
+    /// Handles the passing of time: deadlines, backoff delays and idle
+    /// transactions.
     pub(crate) fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
         self.expire(now, out);
         self.requeue_retries(now, out);
@@ -215,14 +222,14 @@
 
     fn expire(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let typical = self.typical_run_time;
-        let hopeless = |request: &Request| match request.stage {
+        let is_expired = |request: &Request| match request.stage {
             Stage::Draining => false,
             Stage::Running(_) | Stage::Marking(_) | Stage::Acking | Stage::Doubt => {
                 now >= request.deadline
             }
             _ => now + request.margin(typical) >= request.deadline,
         };
-        let late = self.requests.iter().filter(|(_, request)| hopeless(request));
+        let late = self.requests.iter().filter(|(_, request)| is_expired(request));
         let late: Vec<_> = late.map(|(key, request)| (key, request.stage)).collect();
         for (key, stage) in late {
             self.expire_one(now, key, stage, out);
@@ -233,17 +240,17 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let harmless = !request.may_commit();
-        let opening = stage == Stage::Acking && !request.attempt.durable;
+        let cannot_commit = !request.may_commit();
+        let unconfirmed = stage == Stage::Acking && !request.attempt.durable;
         let outcome = match stage {
-            Stage::Running(_) | Stage::Marking(_) if harmless => Outcome::NotRun,
-            Stage::Acking if opening => Outcome::NotRun,
+            Stage::Running(_) | Stage::Marking(_) if cannot_commit => Outcome::NotRun,
+            Stage::Acking if unconfirmed => Outcome::NotRun,
             Stage::Running(_) | Stage::Marking(_) | Stage::Acking | Stage::Doubt => {
                 Outcome::Unknown
             }
             _ => Outcome::NotRun,
         };
-        if opening {
+        if unconfirmed {
             self.end_transaction(now, key, out);
         }
         self.finish(now, key, outcome, Reason::Deadline, out);
@@ -269,12 +276,12 @@
     }
 
     fn expire_conns(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let lingered = self.is_grace_over(now);
+        let grace_over = self.is_grace_over(now);
         let keys: Vec<_> = self.conns.iter().map(|(key, conn)| (key, conn.work)).collect();
         for (key, work) in keys {
             match work {
                 Work::RollingBack(until) if until <= now => self.close_conn(key, out),
-                Work::Pinned(since) if lingered || now.since(since) > self.idle_limit(key) => {
+                Work::Pinned(since) if grace_over || now.since(since) > self.idle_limit(key) => {
                     self.abandon(now, key, out);
                 }
                 _ => {}
@@ -294,7 +301,7 @@
         if waits { Duration::MAX } else { Duration::from_millis(limit) }
     }
 
-    /// Keeps a connection for the transaction that is open on it.
+    /// Reserves a connection for the transaction that is open on it.
     pub(crate) fn pin(
         &mut self,
         now: Instant,
@@ -322,7 +329,7 @@
         }
     }
 
-    /// Gives a connection back to all.
+    /// Makes a connection available to all requests.
     pub(crate) fn release_conn(&mut self, now: Instant, key: Key<Connection>) {
         if let Some(conn) = self.conns.get_mut(key) {
             conn.work = Work::Idle(now);
@@ -340,7 +347,8 @@
         self.drop_urgent(now, key, out);
     }
 
-    /// Closes a connection; it counts until the host says that it is closed.
+    /// Closes a connection. The connection counts against the limits until the
+    /// host confirms the close.
     pub(crate) fn close_conn(&mut self, key: Key<Connection>, out: &mut Vec<Effect>) {
         self.unpin(key);
         let Some(conn) = self.conns.get_mut(key).filter(|conn| !conn.is_closing()) else {
@@ -350,7 +358,7 @@
         out.push(Effect::Close { conn: key });
     }
 
-    /// Reads on for a request whose caller takes more.
+    /// Resumes reading for a request whose caller granted credit.
     pub(crate) fn resume(&mut self, key: Key<Request>, out: &mut Vec<Effect>) {
         let stage = self.requests.get(key).map(|request| request.stage);
         if let Some(Stage::Running(conn) | Stage::Marking(conn)) = stage {
--- a/components/keeper/src/flaw.rs
+++ b/components/keeper/src/flaw.rs
@@ -1,17 +1,18 @@
-//! Rules that a test may break, to see that the breach is noticed.
+//! Deliberate violations of a rule, with which tests show that their checks
+//! detect it.
 
-/// A rule that is broken.
+/// A rule that is violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumIter, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Flaw {
-    /// Acknowledge once the primary alone holds a write.
+    /// Acknowledges a write that only the primary holds.
     PrimaryAlone,
-    /// Compare positions without their terms.
+    /// Compares positions without their terms.
     Termless,
-    /// Send a request again though the first try may have run.
+    /// Resends a request whose first attempt may have run.
     Resend,
-    /// Use a connection again before its rollback is confirmed.
+    /// Reuses a connection before its rollback is confirmed.
     EarlyReuse,
-    /// Take the position of a primary that no majority confirmed.
+    /// Uses the position of a primary that no majority has confirmed.
     Unverified,
 }
--- a/components/keeper/src/group.rs
+++ b/components/keeper/src/group.rs
@@ -1,4 +1,5 @@
-//! The state of one database group, and which module takes which event.
+//! State of one database group, and the dispatch of events to the modules that
+//! handle them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -19,16 +20,16 @@
 use crate::service::Service;
 use crate::unfenced::Unfenced;
 
-/// Time between ticks while something is open.
+/// Time between ticks while requests or samples are pending.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Time between ticks while nothing is.
+/// Time between ticks while nothing is pending.
 const IDLE_TICK: Duration = Duration::from_millis(100);
 
-/// First and longest wait before a repeat or a new connection after a failure.
+/// Initial and maximum backoff before a retry or a reconnect after a failure.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
 
-/// Requests that wait for a slot, by where they may run.
+/// Queues of requests that wait for a slot, by the server role that they need.
 #[derive(Debug, Default)]
 pub(crate) struct Lanes {
     pub(crate) primary: Queue<Key<Service>, Key<Request>>,
@@ -36,18 +37,18 @@
     pub(crate) replica: Queue<Key<Service>, Key<Request>>,
 }
 
-/// One database group.
+/// State of one database group.
 #[derive(Debug)]
 pub struct Group {
     pub(crate) name: Name,
     pub(crate) zone: Name,
     pub(crate) declared: u32,
-    /// Primary that the control log names.
+    /// Primary named by the control log.
     pub(crate) control_primary: Option<Name>,
     pub(crate) lease: Lease,
     pub(crate) leased: bool,
     pub(crate) closing: bool,
-    /// When the group was told to finish.
+    /// When the lease was lost or the shutdown began.
     pub(crate) closing_since: Option<Instant>,
     pub(crate) lease_released: bool,
     pub(crate) declarations: Arc<Declarations>,
@@ -59,24 +60,27 @@
     pub(crate) services: Arena<Service>,
     pub(crate) services_by_name: BTreeMap<Name, Key<Service>>,
     pub(crate) lanes: Lanes,
-    /// Requests in stage parked.
+    /// Requests in [`Stage::Parked`](crate::request::Stage::Parked).
     pub(crate) parked: Vec<Key<Request>>,
-    /// Requests that wait for reports: acknowledgement or settlement.
+    /// Requests that wait for status reports, to be acknowledged or to have
+    /// their outcome determined.
     pub(crate) unresolved: Vec<Key<Request>>,
     pub(crate) ring: Ring,
     pub(crate) sampling: Sampling,
     pub(crate) health: Health,
     pub(crate) backoff: Backoff,
-    /// Usual run time of a cycle.
+    /// Moving average of the run time of a cycle.
     pub(crate) typical_run_time: Duration,
     wake_at: Instant,
     flaw: Option<Flaw>,
-    /// Set where the servers acknowledge by themselves.
+    /// Set if the servers acknowledge commits by themselves and can't be
+    /// fenced.
     pub(crate) unfenced: Option<Unfenced>,
 }
 
 impl Group {
-    /// Makes a group that has no lease yet. `seed` is for the jitter of waits.
+    /// Creates a group without a lease. `seed` seeds the jitter of backoff
+    /// delays.
     pub fn new(name: Name, zone: Name, seed: u64) -> Self {
         Self {
             name,
@@ -110,7 +114,7 @@
         }
     }
 
-    /// Breaks a rule.
+    /// Violates a rule from now on.
     #[cfg(feature = "fault")]
     pub fn inject_flaw(&mut self, flaw: Flaw) {
         self.flaw = Some(flaw);
@@ -120,17 +124,17 @@
         cfg!(feature = "fault") && self.flaw == Some(flaw)
     }
 
-    /// Whether no request is open and no connection stands.
+    /// Whether no request is pending and no connection is open.
     pub fn is_drained(&self) -> bool {
         self.requests.is_empty() && self.conns.is_empty()
     }
 
-    /// Whether requests or transactions are open.
+    /// Whether requests are pending or transactions are open.
     pub fn is_busy(&self) -> bool {
         !self.requests.is_empty() || !self.pins.is_empty()
     }
 
-    /// Takes an event in and puts out what follows from it.
+    /// Handles an event and appends the resulting effects to `out`.
     pub fn on(&mut self, now: Instant, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Run { front, run } => self.run(now, front, run, out),
@@ -158,12 +162,12 @@
         self.wake(now, out);
     }
 
-    /// Servers whose reports make a majority.
+    /// Number of servers that make a majority.
     pub(crate) fn majority(&self) -> usize {
         self.declared as usize / 2 + 1
     }
 
-    /// Whether the entry may start new work in this group.
+    /// Whether new work may start in this group.
     pub(crate) fn may_start(&self) -> bool {
         self.leased && self.lease == Lease::Held && !self.closing
     }
@@ -172,7 +176,9 @@
         self.servers.iter().find(|(_, server)| server.name == *name).map(|(key, _)| key)
     }
 
-    /// The server of the highest term that calls itself a primary, and its term.
+    /// Returns the server that reports to be the primary in the highest term,
+    /// and that term. In an unfenced group, returns the primary that control
+    /// names.
     pub(crate) fn primary(&self) -> Option<(Key<Server>, Term)> {
         if self.is_unfenced() {
             return self.control_named_primary();
@@ -184,7 +190,8 @@
         primaries.max_by_key(|(_, term)| *term)
     }
 
-    /// The primary, if new work may go to it.
+    /// Returns the primary if it accepts new work and its term can still have a
+    /// majority.
     pub(crate) fn usable_primary(&self, now: Instant) -> Option<(Key<Server>, Term)> {
         if self.is_unfenced() {
             return self.usable_control_primary(now);
@@ -197,19 +204,19 @@
         (open && possible).then_some((key, term))
     }
 
-    /// Statements that run on a server.
+    /// Number of statements that run on a server.
     pub(crate) fn running(&self, server: Key<Server>) -> u32 {
         let on = self.conns.iter().filter(|(_, conn)| conn.server == server && conn.uses_slot());
         on.count() as u32
     }
 
-    /// Slots that are free on a server.
+    /// Number of free slots on a server.
     pub(crate) fn free_slots(&self, server: Key<Server>) -> u32 {
         let slots = self.servers.get(server).map_or(0, |server| server.slots);
         slots.saturating_sub(self.running(server))
     }
 
-    /// The idle connection of a server that was used last.
+    /// Returns the most recently used idle connection to a server.
     pub(crate) fn idle(&self, server: Key<Server>) -> Option<Key<Connection>> {
         let idle = self.conns.iter().filter_map(|(key, conn)| match conn.work {
             Work::Idle(since) if conn.server == server => Some((since, key)),
--- a/components/keeper/src/health.rs
+++ b/components/keeper/src/health.rs
@@ -1,4 +1,4 @@
-//! Symptoms of a primary, for control to act on.
+//! Detection of symptoms of a failed primary, which are reported to control.
 
 use base::prelude::*;
 use wire::control::{Sight, Symptom};
@@ -7,17 +7,18 @@
 use crate::group::Group;
 use crate::server::Server;
 
-/// Time without word from the primary after which a replica has lost it.
+/// Time without contact after which a replica is considered cut off from the
+/// primary.
 const PRIMARY_LOSS_LIMIT: Duration = Duration::from_millis(400);
 
-/// Time without a report after which the primary is called silent. A busy one
-/// answers late, which is no symptom.
+/// Time without a report after which the primary is considered silent. An
+/// overloaded primary answers late, which is not a symptom.
 const PRIMARY_SILENCE_LIMIT: Duration = Duration::from_millis(600);
 
-/// Time after which a symptom that lasts is reported again.
+/// Interval at which a persisting symptom is reported again.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was reported last.
+/// The last report to control.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     last_symptom: Option<Symptom>,
@@ -25,7 +26,8 @@
 }
 
 impl Group {
-    /// Reports what is seen of the primary, if it changed or stays bad.
+    /// Reports the state of the primary to control if it changed or remains
+    /// unhealthy.
     pub(crate) fn report_health(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let Some(symptom) = self.symptom(now) else {
             return;
@@ -43,10 +45,11 @@
     }
 
     fn symptom(&self, now: Instant) -> Option<Symptom> {
-        let named = || self.control_primary.as_ref().and_then(|name| self.server_named(name));
+        let control_primary =
+            || self.control_primary.as_ref().and_then(|name| self.server_named(name));
         let (key, term) = match self.primary() {
             Some(found) => found,
-            None => (named()?, Term::default()),
+            None => (control_primary()?, Term::default()),
         };
         let server = self.servers.get(key)?;
         let (term, sight) = match &self.unfenced {
@@ -74,13 +77,14 @@
     }
 }
 
-/// Whether a replica says of late that it has not heard of its primary.
+/// Whether a replica recently reported that it has lost contact with its
+/// primary.
 fn has_lost_primary(now: Instant, server: &Server) -> bool {
-    let Some(seen) = &server.report else {
+    let Some(report) = &server.report else {
         return false;
     };
-    let replica = seen.status.role == Role::Replica;
+    let replica = report.status.role == Role::Replica;
     replica
         && server.is_responsive(now)
-        && seen.status.silence + now.since(seen.received_at) > PRIMARY_LOSS_LIMIT
+        && report.status.silence + now.since(report.received_at) > PRIMARY_LOSS_LIMIT
 }
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -1,17 +1,18 @@
 //! The half of an entry that owns connections to backend servers.
 //!
-//! One [`Group`] decides for one database group: which request runs next and
-//! where, when its answer may be released, and what became of a request whose
-//! connection broke. It holds no socket: the host feeds it [`Event`]s and
-//! carries out its [`Effect`]s.
+//! A [`Group`] makes the decisions for one database group: which request runs
+//! next and on which server, when its answer may be released, and the outcome
+//! of a request whose connection was lost. A group performs no I/O: the host
+//! feeds it [`Event`]s and performs its [`Effect`]s.
 //!
-//! - `admission`: requests, credit and callers that leave.
+//! - `admission`: requests, credit and callers that disconnect.
+//! - `shedding`: requests refused under overload.
 //! - `reads`: verified samples and the choice of a replica.
-//! - `dispatch`: what is sent next, and how many connections stand open.
-//! - `cycle`: what connections report.
-//! - `resolve`: acknowledgement, and requests in doubt.
-//! - `finish`: ends of requests, and repeats.
-//! - `health`: symptoms of a primary.
+//! - `dispatch`: sending of queued requests, and the number of connections.
+//! - `cycle`: events of connections.
+//! - `resolve`: acknowledgement by a majority, and requests in doubt.
+//! - `finish`: ends of requests, and retries.
+//! - `health`: symptoms of a failed primary.
 //! - `unfenced`: groups whose servers acknowledge by themselves.
 
 mod admission;
--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -1,4 +1,5 @@
-//! Verified samples of the primary, and which server serves a read.
+//! Verified samples of the primary's position, and the choice of a server for
+//! reads.
 
 use base::prelude::*;
 use route::{Candidate, Need, Sample, qualify};
@@ -11,27 +12,29 @@
 use crate::server::{Report, Server};
 use crate::unfenced::{self, will_show_soon};
 
-/// Time after which a round of samples is given up.
+/// Timeout of a sampling round.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time that samples go on after the last read that accepts an age.
+/// Time for which background sampling continues after the last read that
+/// accepts a bounded age.
 const BACKGROUND_SAMPLING: Duration = Duration::from_secs(5);
 
-/// Least and longest time between background samples.
+/// Minimum and maximum interval of background sampling.
 const SAMPLE_INTERVAL: (Duration, Duration) =
     (Duration::from_millis(10), Duration::from_millis(100));
 
-/// Time a read waits for a busy replica before an idle primary serves it.
+/// Time that a read waits for a busy replica before an idle primary serves it.
 const BUSY_PATIENCE: Duration = Duration::from_millis(100);
 
-/// Rounds of samples: one serves all requests that came before it.
+/// Sampling rounds. One round serves all requests that arrived before its
+/// start.
 #[derive(Debug, Default)]
 pub(crate) struct Sampling {
-    /// A sample taken at or after this is awaited.
+    /// Requests wait for a sample taken at or after this time.
     requested_since: Instant,
-    /// Start of the round that is under way.
+    /// Start of the current round.
     round: Option<Instant>,
-    /// The youngest sample.
+    /// The latest sample.
     pub(crate) verified: Option<Sample>,
     age_reads_until: Instant,
     age: Duration,
@@ -42,35 +45,36 @@
         self.round.is_some() || now < self.age_reads_until
     }
 
-    /// Asks for a sample taken at or after `since`.
+    /// Requests a sample taken at or after `since`.
     pub(crate) fn request_since(&mut self, since: Instant) {
         self.requested_since = self.requested_since.max(since);
     }
 
-    /// Notes a read that accepts an age.
+    /// Keeps background sampling running for a read that accepts the given age.
     pub(crate) fn note_age(&mut self, now: Instant, age: Duration) {
         let known = if now < self.age_reads_until { self.age } else { age };
         self.age = known.min(age);
         self.age_reads_until = now + BACKGROUND_SAMPLING;
     }
 
-    /// Whether a sample taken at or after `since` is there.
+    /// Whether a sample taken at or after `since` is available.
     pub(crate) fn covers(&self, since: Instant) -> bool {
         self.verified.is_some_and(|sample| sample.taken >= since)
     }
 
-    /// Whether reads that accept an age lack a sample younger than a part of it.
+    /// Whether reads that accept a bounded age need a sample younger than `1 /
+    /// part` of that age, and none was requested recently.
     pub(crate) fn needs_sample(&self, now: Instant, part: u32) -> bool {
         let asked = self.round.is_some_and(|round| now.since(round) <= ROUND_TIMEOUT);
         now < self.age_reads_until && !asked && !self.covers(now - self.age / part)
     }
 
-    /// Notes that a primary was asked where it stands.
+    /// Records that a sample was requested from the primary.
     pub(crate) fn note_requested(&mut self, now: Instant) {
         self.round = Some(now);
     }
 
-    /// Whether a round is to start now.
+    /// Starts a round if one is due; returns whether it did.
     fn start_round(&mut self, now: Instant) -> bool {
         if let Some(round) = self.round {
             let open = !self.covers(round) && now.since(round) <= ROUND_TIMEOUT;
@@ -90,7 +94,7 @@
 }
 
 impl Group {
-    /// Notes which samples a read needs.
+    /// Requests the samples that a read needs.
     pub(crate) fn request_sample_for(&mut self, now: Instant, key: Key<Request>) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Starts a round of samples if one is due.
+    /// Requests status reports from all servers if a sampling round is due.
     pub(crate) fn sample(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if self.is_unfenced() {
             return self.sample_unfenced(now, out);
@@ -113,11 +117,11 @@
         if !self.sampling.start_round(now) {
             return;
         }
-        let seated = self.servers.iter().filter(|(_, server)| server.configured);
-        out.extend(seated.map(|(_, server)| Effect::Sample { server: server.name.clone() }));
+        let members = self.servers.iter().filter(|(_, server)| server.configured);
+        out.extend(members.map(|(_, server)| Effect::Sample { server: server.name.clone() }));
     }
 
-    /// Takes the newest sample that the reports give.
+    /// Stores the latest sample that the reports support.
     pub(crate) fn verify(&mut self) {
         let Some(sample) = self.verified_sample() else {
             return;
@@ -132,7 +136,8 @@
         self.sampling.verified.is_some_and(|known| known.mark.term == sample.mark.term)
     }
 
-    /// The primary's position, and since when a majority stands in its term.
+    /// Returns the primary's position and the time after which a majority
+    /// confirmed the primary's term.
     fn verified_sample(&self) -> Option<Sample> {
         let (key, term) = self.primary()?;
         let primary = self.servers.get(key)?.report.as_ref()?;
@@ -140,15 +145,17 @@
         if self.has_flaw(Flaw::Unverified) {
             return Some(Sample { taken: primary.requested_at, mark });
         }
-        let seen = self.servers.iter().filter_map(|(_, server)| server.report.as_ref());
-        let mut sent: Vec<_> =
-            seen.filter(|seen| seen.status.term == term).map(|seen| seen.requested_at).collect();
+        let reports = self.servers.iter().filter_map(|(_, server)| server.report.as_ref());
+        let mut sent: Vec<_> = reports
+            .filter(|report| report.status.term == term)
+            .map(|report| report.requested_at)
+            .collect();
         sent.sort_unstable_by(|a, b| b.cmp(a));
         let taken = sent.get(self.majority() - 1)?;
         Some(Sample { taken: primary.requested_at.min(*taken), mark })
     }
 
-    /// Moves parked reads on whose server is clear.
+    /// Queues parked reads for which a lane can be chosen now.
     pub(crate) fn unpark(&mut self, now: Instant) {
         let parked = std::mem::take(&mut self.parked);
         for key in parked {
@@ -156,7 +163,7 @@
         }
     }
 
-    /// Queues a parked read if its server is clear.
+    /// Queues a parked read if a lane can be chosen, else keeps it parked.
     pub(crate) fn park_or_queue(&mut self, now: Instant, key: Key<Request>) {
         let Some(request) = self.requests.get(key).filter(|r| r.stage == Stage::Parked) else {
             return;
@@ -176,7 +183,8 @@
         }
     }
 
-    /// Where a parked read is to queue, once that is clear.
+    /// Chooses the lane of a parked read, and the reason in case the primary
+    /// serves it. Returns `None` while the read must wait.
     fn lane(&self, now: Instant, request: &Request) -> Option<(Lane, Cause)> {
         if self.is_unfenced() {
             return Some((self.unfenced_lane(now, request)?, Cause::Busy));
@@ -207,7 +215,7 @@
         self.primary().is_none_or(|(key, _)| reaches(key))
     }
 
-    /// Replicas that the request's service may reach.
+    /// Usable replicas that the request's service may reach.
     fn replicas(
         &self,
         now: Instant,
@@ -216,35 +224,38 @@
         let service = self.services.get(request.service);
         let primary = self.primary().map(|(key, _)| key);
         self.servers.iter().filter_map(move |(key, server)| {
-            let seen = server.report.as_ref()?;
+            let report = server.report.as_ref()?;
             let unfenced = self.is_unfenced();
-            let trusted = seen.requested_at > server.distrusted_at || unfenced;
+            let trusted = report.requested_at > server.distrusted_at || unfenced;
             let usable = server.is_available(now) && !server.expired && trusted;
-            let replica = Some(key) != primary && (unfenced || seen.status.role == Role::Replica);
+            let replica = Some(key) != primary && (unfenced || report.status.role == Role::Replica);
             let reached = service.is_some_and(|service| service.reaches(key));
-            (usable && replica && reached).then_some((key, server, seen))
+            (usable && replica && reached).then_some((key, server, report))
         })
     }
 
-    /// Replicas that show what a read needs, and the mark that each is sure to show.
+    /// Replicas that show the data a read needs, each with the mark that it is
+    /// certain to show.
     fn qualified(
         &self,
         now: Instant,
         request: &Request,
     ) -> impl Iterator<Item = (Key<Server>, &Server, Option<Mark>)> {
         let need = Need { floor: request.floor, since: request.sampled_since(now) };
-        let unfenced = self.is_unfenced().then(|| self.need(now, request));
-        self.replicas(now, request).filter_map(move |(key, server, seen)| {
-            let mark = match unfenced {
+        let unfenced_need = self.is_unfenced().then(|| self.need(now, request));
+        self.replicas(now, request).filter_map(move |(key, server, report)| {
+            let mark = match unfenced_need {
                 Some(unfenced::Need::Mark(mark)) if will_show_soon(now, server, mark) => Some(mark),
                 Some(_) => return None,
-                None => qualify(&seen.status, need, &self.ring)?,
+                None => qualify(&report.status, need, &self.ring)?,
             };
             Some((key, server, mark))
         })
     }
 
-    /// The same with what decides between them, also where no slot is free.
+    /// The qualified replicas with the properties that the choice between them
+    /// depends on, including replicas without a free slot. In an unfenced group
+    /// the primary is added if all of them are busy.
     pub(crate) fn candidates(
         &self,
         now: Instant,
@@ -265,42 +276,45 @@
             .chain(spare.and_then(|key| Some(candidate((key, self.servers.get(key)?, None)))))
     }
 
-    /// The primary, while nothing waits that only it may do, and within this
-    /// keeper's share: others must find the slots of theirs.
+    /// Returns the primary of an unfenced group if no work that needs the
+    /// primary is waiting and this keeper's share has room. Reads beyond the
+    /// share would take slots granted to other keepers.
     fn spare_primary(&self, now: Instant) -> Option<Key<Server>> {
         let (key, _) = self.usable_control_primary(now)?;
         let room = self.running(key) < self.spare_slots(key);
         (room && !self.awaits_primary()).then_some(key)
     }
 
-    /// Whether something waits that only the primary may do.
+    /// Whether work that needs the primary is waiting.
     fn awaits_primary(&self) -> bool {
         let waits =
             |request: &Request| matches!(request.stage, Stage::Backoff(_)) && !request.is_read();
         !self.lanes.primary.is_empty() || self.requests.iter().any(|(_, request)| waits(request))
     }
 
-    /// Slots of a primary that this keeper may use for reads.
+    /// Number of slots on a primary that this keeper may use for reads.
     pub(crate) fn spare_slots(&self, primary: Key<Server>) -> u32 {
         self.servers.get(primary).map_or(0, |server| server.share).max(1)
     }
 
-    /// Slots of a server that could be used at once.
+    /// Number of slots on a server that can be used without opening a
+    /// connection.
     pub(crate) fn ready_slots(&self, key: Key<Server>) -> u32 {
         if self.idle(key).is_some() { self.free_slots(key) } else { 0 }
     }
 
-    /// Moves reads that waited long for a busy replica to an idle primary.
+    /// Moves reads that waited too long for a busy replica to the primary, if
+    /// it has no work of its own.
     pub(crate) fn spill_to_primary(&mut self, now: Instant) {
         if !self.lanes.primary.is_empty() || self.lanes.replica.is_empty() || self.is_unfenced() {
             return;
         }
-        let long = |request: &Request| {
+        let is_overdue = |request: &Request| {
             let patience = Duration::from_millis(request.run.patience_ms).max(BUSY_PATIENCE);
             let waits = request.stage == Stage::Queued(Lane::Replica);
             waits && now.since(request.arrived) > patience
         };
-        let moved = self.requests.iter().filter(|(_, request)| long(request));
+        let moved = self.requests.iter().filter(|(_, request)| is_overdue(request));
         let moved: Vec<_> = moved.map(|(key, request)| (key, request.service)).collect();
         for (key, service) in moved {
             self.lanes.replica.remove(service, key);
--- a/components/keeper/src/request.rs
+++ b/components/keeper/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests from when they come to when they end.
+//! State of a request from arrival to end.
 
 use std::collections::VecDeque;
 
@@ -11,48 +11,50 @@
 use crate::server::Server;
 use crate::service::Service;
 
-/// Most bytes of one answer that are held back.
+/// Maximum number of bytes of one answer that are held back.
 pub(crate) const MAX_HELD_BYTES: usize = 1 << 20;
 
-/// Part of a request's time that is kept for its run at most.
+/// Inverse of the largest part of a request's time to its deadline that is
+/// reserved for running it.
 const MARGIN_DIVISOR: u32 = 10;
 
-/// Which queue a request stands in.
+/// Queue that a request waits in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
     /// Runs on the primary.
     Primary,
-    /// Runs on the primary when nothing of [`Lane::Primary`] waits.
+    /// Runs on the primary while [`Lane::Primary`] is empty.
     Spare,
     /// Runs on a replica.
     Replica,
 }
 
-/// How far a request is.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Waits for a sample or for a replica to catch up.
     Parked,
-    /// Waits for its turn.
+    /// Waits in a queue.
     Queued(Lane),
-    /// Waits for a slot, to go on with its transaction.
+    /// Waits for a slot to continue its open transaction.
     Urgent(Key<Connection>),
-    /// Waits before the next try.
+    /// Waits for the next attempt.
     Backoff(Instant),
-    /// Was sent.
+    /// Runs on a connection.
     Running(Key<Connection>),
-    /// Its cycle is over; the position after it is asked for.
+    /// The cycle has ended; the log position after it is being read.
     Marking(Key<Connection>),
-    /// Its cycle is over; a majority must confirm.
+    /// The cycle has ended; a majority must confirm it.
     Acking,
-    /// Its connection broke, or its primary was replaced, in the middle.
+    /// In doubt: the connection was lost or the primary was replaced during the
+    /// attempt.
     Doubt,
-    /// Its answer goes out as the caller takes it.
+    /// Ended; the rest of the answer is sent as the caller grants credit.
     Draining,
 }
 
 impl Stage {
-    /// Its name in logs.
+    /// Name of the stage in logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Parked => "parked",
@@ -68,7 +70,7 @@
     }
 }
 
-/// One request.
+/// A request.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) front: Front,
@@ -81,9 +83,9 @@
     pub(crate) stage: Stage,
     pub(crate) cause: Cause,
     pub(crate) tries: u32,
-    /// An earlier try may have run.
+    /// Whether an earlier attempt may have run.
     pub(crate) may_have_run: bool,
-    /// Nobody waits for its answer any more.
+    /// Whether the caller has disconnected or given up the request.
     pub(crate) orphan: bool,
     pub(crate) window: u64,
     pub(crate) parts: u64,
@@ -91,7 +93,7 @@
     pub(crate) end: Option<End>,
 }
 
-/// The end of a cycle.
+/// End of a cycle.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Completion {
     pub(crate) at: Instant,
@@ -99,37 +101,39 @@
     pub(crate) failed: bool,
 }
 
-/// One try of a request at a server.
+/// One attempt to run a request on a server.
 #[derive(Debug, Default)]
 pub(crate) struct Attempt {
     pub(crate) server: Option<Key<Server>>,
-    /// Whether the server was taken for the primary.
+    /// Whether the server was considered the primary.
     pub(crate) primary: bool,
-    /// Term and incarnation of the server as they were known.
+    /// Term of the server, or of the open transaction that the request belongs
+    /// to.
     pub(crate) term: Term,
     pub(crate) incarnation: u64,
-    /// Index of the control log that the group stood at.
+    /// Index of the control log known when the attempt was sent.
     pub(crate) index: u64,
     pub(crate) sent_at: Instant,
-    /// Last known position of the primary before it was sent.
+    /// Last known position of the server before the attempt was sent.
     pub(crate) position_before: Position,
-    /// Position of the primary after its cycle.
+    /// Position of the primary after the cycle.
     pub(crate) mark_after: Option<Mark>,
-    /// How its cycle ended, once it has.
+    /// End of the cycle, once it has ended.
     pub(crate) completion: Option<Completion>,
-    /// When its connection broke.
+    /// When the connection was lost.
     pub(crate) lost_at: Option<Instant>,
-    /// Whether a COMMIT came.
+    /// Whether a COMMIT was completed.
     pub(crate) committed: bool,
-    /// Whether it is released only once a majority holds `hi`.
+    /// Whether the answer is released only after a majority holds `mark_after`.
     pub(crate) durable: bool,
-    /// It is released only once a sample taken since then is verified.
+    /// If set, the answer is released only after a sample taken since this time
+    /// confirms the term.
     pub(crate) verify_since: Option<Instant>,
     pub(crate) held: VecDeque<Bytes>,
     pub(crate) held_bytes: usize,
-    /// Status byte that closed the cycle.
+    /// Status byte that ended the cycle.
     pub(crate) status: u8,
-    /// What a read on a replica is sure to have seen.
+    /// Mark that a read on a replica is certain to have seen.
     pub(crate) mark: Option<Mark>,
 }
 
@@ -160,39 +164,43 @@
         (self.front, self.run.caller)
     }
 
-    /// Whether it goes through the choice of a replica.
+    /// Whether the request may be sent to a replica.
     pub(crate) fn is_read(&self) -> bool {
         self.class == Class::Read && !self.run.within
     }
 
-    /// Whether it may have committed something, whatever it was declared as.
+    /// Whether the request may have committed data, regardless of its declared
+    /// class.
     pub(crate) fn may_commit(&self) -> bool {
         let reads = self.run.within && self.class == Class::Read;
         !reads && (!self.run.within || self.run.commits || self.attempt.committed)
     }
 
-    /// Whether its answer is held back from the first complete statement on.
+    /// Whether the answer is held back from the first completed statement on.
     pub(crate) fn holds_answer(&self) -> bool {
         self.attempt.primary && (!self.run.within || self.run.commits)
     }
 
-    /// Whether the last try ended with an error of the server.
+    /// Whether the last attempt ended with a server error.
     pub(crate) fn is_failed(&self) -> bool {
-        self.attempt.completion.is_some_and(|over| over.failed)
+        self.attempt.completion.is_some_and(|completion| completion.failed)
     }
 
-    /// Time before its deadline from which it is not worth sending, given the
-    /// usual run time: slow statements of others take little of a short deadline.
+    /// Time before the deadline after which the request is no longer sent.
+    /// Based on the typical run time, but limited to a part of the request's
+    /// own time to its deadline, so that slow statements of other callers do
+    /// not use up a short deadline.
     pub(crate) fn margin(&self, typical: Duration) -> Duration {
         typical.min(self.deadline.since(self.arrived) / MARGIN_DIVISOR)
     }
 
-    /// Whether it must see all that was acknowledged before it came.
+    /// Whether the request must see all writes acknowledged before it arrived.
     pub(crate) fn is_fresh(&self) -> bool {
         self.run.fresh || (self.floor.is_none() && self.run.age_ms == 0)
     }
 
-    /// Samples taken from then on are young enough; none if the floor is.
+    /// Returns the time after which a sample must have been taken to satisfy
+    /// the request, or `None` if only the session's floor matters.
     pub(crate) fn sampled_since(&self, now: Instant) -> Option<Instant> {
         if self.is_fresh() {
             return Some(self.arrived);
@@ -201,7 +209,8 @@
         (age > Duration::ZERO).then(|| now - age)
     }
 
-    /// Whether its answer's next piece is held back; once one is, all are.
+    /// Whether the next piece of the answer is held back. After the first such
+    /// piece, all further pieces are held back.
     pub(crate) fn holds_back(&self, piece: &Piece) -> bool {
         let attempt = &self.attempt;
         if !attempt.primary {
--- a/components/keeper/src/resolve.rs
+++ b/components/keeper/src/resolve.rs
@@ -1,4 +1,4 @@
-//! Acknowledgement by a majority, and what became of requests in doubt.
+//! Acknowledgement by a majority, and the outcome of requests in doubt.
 
 use base::mark::Fate;
 use base::prelude::*;
@@ -11,7 +11,7 @@
 use crate::request::{Attempt, Request, Stage};
 use crate::server::Server;
 
-/// A term in which a majority stands, with records of it.
+/// A term that a majority has entered and holds records of.
 struct Established {
     term: Term,
     primary: Key<Server>,
@@ -19,7 +19,7 @@
 }
 
 impl Group {
-    /// Takes a server's report in.
+    /// Handles a status report of a server.
     pub(crate) fn status(
         &mut self,
         now: Instant,
@@ -39,7 +39,7 @@
         self.resolve(now, out);
     }
 
-    /// Ends all requests whose outcome the reports make clear.
+    /// Ends all requests whose outcome the reports determine.
     pub(crate) fn resolve(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if self.unresolved.is_empty() {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes what newer reports tell of a request that waits.
+    /// Updates an attempt with what newer reports show.
     fn update_attempt(&mut self, key: Key<Request>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -72,17 +72,18 @@
         if attempt.verify_since.is_some_and(covered) {
             attempt.verify_since = None;
         }
-        let seen = attempt.server.and_then(|server| self.servers.get(server));
-        let Some(seen) = seen.and_then(|server| server.report.as_ref()) else {
+        let server = attempt.server.and_then(|server| self.servers.get(server));
+        let Some(report) = server.and_then(|server| server.report.as_ref()) else {
             return;
         };
-        // a later position of the same primary bounds the cycle as a mark does
-        if let (None, Some(over)) = (attempt.mark_after, attempt.completion)
+        // a later position of the same primary is an upper bound of the cycle, as a mark is
+        if let (None, Some(completion)) = (attempt.mark_after, attempt.completion)
             && attempt.durable
-            && seen.requested_at > over.at
-            && is_same_primary(attempt, &seen.status)
+            && report.requested_at > completion.at
+            && is_same_primary(attempt, &report.status)
         {
-            attempt.mark_after = Some(Mark { term: attempt.term, position: seen.status.received });
+            attempt.mark_after =
+                Some(Mark { term: attempt.term, position: report.status.received });
         }
     }
 
@@ -96,7 +97,7 @@
         if self.has_flaw(Flaw::Resend) && request.stage == Stage::Doubt {
             return Some((Outcome::NotRun, Reason::Broken));
         }
-        let held = attempt.mark_after.is_some_and(|hi| self.is_held(attempt.server, hi));
+        let held = attempt.mark_after.is_some_and(|mark| self.is_held(attempt.server, mark));
         if attempt.completion.is_some()
             && (held || !attempt.durable)
             && attempt.verify_since.is_none()
@@ -105,22 +106,25 @@
         }
         let later = established.filter(|found| found.term > attempt.term);
         if let Some(established) = later.filter(|found| self.is_current(attempt, found)) {
-            // where the server leads again, a try without an end may still run
-            let lives = attempt.completion.is_none() && attempt.server == Some(established.primary);
-            let reason = if lives { Reason::Broken } else { Reason::Replaced };
+            // if the same server leads again, an attempt whose cycle has not ended may still
+            // run
+            let may_still_run =
+                attempt.completion.is_none() && attempt.server == Some(established.primary);
+            let reason = if may_still_run { Reason::Broken } else { Reason::Replaced };
             return Some((outcome_by_history(attempt, established), reason));
         }
-        let open_end = attempt.mark_after.is_none() && attempt.completion.is_none();
-        if open_end && self.has_primary_continued(attempt) {
+        let unfinished = attempt.mark_after.is_none() && attempt.completion.is_none();
+        if unfinished && self.has_primary_continued(attempt) {
             return Some((Outcome::Unknown, Reason::Broken));
         }
         None
     }
 
-    /// Whether no term beyond the established one had begun when the try ended.
-    /// Else the try may have run in such a term, unless a mark names its own.
+    /// Whether no term beyond the established one had begun when the attempt
+    /// ended. Otherwise the attempt may have run in such a later term, unless a
+    /// mark names its term.
     fn is_current(&self, attempt: &Attempt, established: &Established) -> bool {
-        let ended = attempt.lost_at.or(attempt.completion.map(|over| over.at));
+        let ended = attempt.lost_at.or(attempt.completion.map(|completion| completion.at));
         let Some(ended) = ended.filter(|_| attempt.mark_after.is_none()) else {
             return true;
         };
@@ -128,22 +132,23 @@
         sample.is_some_and(|s| s.mark.term == established.term && s.taken > ended)
     }
 
-    /// Whether the request's primary went on after the connection broke.
+    /// Whether the attempt's primary was still primary in the same term after
+    /// the connection was lost.
     fn has_primary_continued(&self, attempt: &Attempt) -> bool {
         let server = attempt.server.and_then(|server| self.servers.get(server));
-        let Some(seen) = server.and_then(|server| server.report.as_ref()) else {
+        let Some(report) = server.and_then(|server| server.report.as_ref()) else {
             return false;
         };
-        let after = attempt.lost_at.is_some_and(|broken| seen.requested_at > broken);
-        let primary = seen.status.role == Role::Primary && seen.status.term == attempt.term;
+        let after = attempt.lost_at.is_some_and(|lost_at| report.requested_at > lost_at);
+        let primary = report.status.role == Role::Primary && report.status.term == attempt.term;
         after && primary
     }
 
-    /// Whether a majority holds a mark, the primary that wrote it among them.
+    /// Whether a majority holds a mark, including the primary that wrote it.
     fn is_held(&self, primary: Option<Key<Server>>, mark: Mark) -> bool {
         let holds = |status: &Status| {
-            let termless = self.has_flaw(Flaw::Termless) && status.received >= mark.position;
-            termless || status.holds(mark)
+            let ignores_term = self.has_flaw(Flaw::Termless) && status.received >= mark.position;
+            ignores_term || status.holds(mark)
         };
         let own = primary.and_then(|key| self.servers.get(key)).and_then(Server::status);
         if !own.is_some_and(holds) {
@@ -154,16 +159,21 @@
         count >= self.majority() || self.has_flaw(Flaw::PrimaryAlone)
     }
 
-    /// The newest term in which a majority stands with records of it, so that
-    /// no later failover can change what became of earlier terms.
+    /// Returns the newest term that a majority has entered and holds records
+    /// of. No later failover can change the outcome of requests of earlier
+    /// terms.
     fn established(&self) -> Option<Established> {
         let (primary, term) = self.primary()?;
         let status = self.servers.get(primary)?.status()?;
         let statuses = self.servers.iter().filter_map(|(_, server)| server.status());
-        let standing = statuses.filter(|s| s.term == term && s.log_term >= term).count();
-        let whole = status.log_term == term && status.history.last() == Some(term);
+        let in_term = statuses.filter(|s| s.term == term && s.log_term >= term).count();
+        let has_records = status.log_term == term && status.history.last() == Some(term);
         let history = status.history.clone();
-        (whole && standing >= self.majority()).then_some(Established { term, primary, history })
+        (has_records && in_term >= self.majority()).then_some(Established {
+            term,
+            primary,
+            history,
+        })
     }
 
     /// Closes connections whose cycle or transaction belongs to a term that a
@@ -172,14 +182,15 @@
         let terms = self.servers.iter().filter_map(|(_, server)| server.status());
         let mut terms: Vec<_> = terms.map(|status| status.term).collect();
         terms.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(left) = terms.get(self.majority() - 1).copied() else {
+        let Some(left_term) = terms.get(self.majority() - 1).copied() else {
             return;
         };
         let replaced = self.conns.iter().filter(|(_, conn)| match conn.work {
-            Work::Busy(key) | Work::Marking(key) => {
-                self.requests.get(key).is_some_and(|r| r.attempt.primary && r.attempt.term < left)
-            }
-            Work::Pinned(_) => conn.term < left,
+            Work::Busy(key) | Work::Marking(key) => self
+                .requests
+                .get(key)
+                .is_some_and(|r| r.attempt.primary && r.attempt.term < left_term),
+            Work::Pinned(_) => conn.term < left_term,
             _ => false,
         });
         let replaced: Vec<_> = replaced.map(|(key, _)| key).collect();
@@ -200,10 +211,10 @@
             return;
         };
         request.may_have_run |= outcome == Outcome::Unknown;
-        let spoiled = outcome != Outcome::Done || (request.is_failed() && !request.orphan);
+        let unsuccessful = outcome != Outcome::Done || (request.is_failed() && !request.orphan);
         let repeatable = request.class != Class::Write && reason == Reason::Replaced;
         let repeatable = repeatable || self.has_flaw(Flaw::Resend);
-        if spoiled && repeatable && self.retry(now, key, out) {
+        if unsuccessful && repeatable && self.retry(now, key, out) {
             return;
         }
         if outcome != Outcome::Done {
@@ -212,7 +223,7 @@
         self.finish(now, key, outcome, reason, out);
     }
 
-    /// Closes the transaction that an unproved cycle began.
+    /// Closes the transaction that a cycle with an unconfirmed outcome began.
     pub(crate) fn end_transaction(
         &mut self,
         now: Instant,
@@ -235,7 +246,7 @@
     primary && status.incarnation == attempt.incarnation
 }
 
-/// What became of a cycle by the history of a later term.
+/// Derives the outcome of a cycle from the history of a later term.
 fn outcome_by_history(attempt: &Attempt, established: &Established) -> Outcome {
     let Some(next) = established.history.next(attempt.term) else {
         return Outcome::Unknown;
@@ -243,15 +254,15 @@
     if attempt.completion.is_some() && !attempt.durable {
         return Outcome::NotRun;
     }
-    let undone = attempt.position_before >= next.position;
-    if let Some(hi) = attempt.mark_after {
-        return match established.history.fate(hi) {
+    let truncated = attempt.position_before >= next.position;
+    if let Some(mark) = attempt.mark_after {
+        return match established.history.fate(mark) {
             Fate::Survived if attempt.verify_since.is_none() => Outcome::Done,
-            Fate::Lost if undone => Outcome::NotRun,
+            Fate::Lost if truncated => Outcome::NotRun,
             _ => Outcome::Unknown,
         };
     }
-    // without a mark it may have run in a later term of the same server
+    // without a mark the cycle may have run in a later term of the same server
     let only = next.term == established.term && attempt.server != Some(established.primary);
-    if undone && only { Outcome::NotRun } else { Outcome::Unknown }
+    if truncated && only { Outcome::NotRun } else { Outcome::Unknown }
 }
--- a/components/keeper/src/server.rs
+++ b/components/keeper/src/server.rs
@@ -1,4 +1,4 @@
-//! Backend servers, as a group sees them.
+//! State of backend servers as observed by a group.
 
 use std::collections::VecDeque;
 
@@ -11,44 +11,47 @@
 /// Time without a report after which a server counts as silent.
 pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A server with a seat in the group.
+/// A member of the group.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) setup: event::Server,
-    /// Whether the setup still names it.
+    /// Whether the current setup contains the server.
     pub(crate) configured: bool,
     pub(crate) report: Option<Report>,
-    /// Newest mark that a cycle's end showed of it.
+    /// Newest mark read on a connection after a cycle.
     pub(crate) last_mark: Mark,
-    /// When the last report came, or when the server was first heard of.
+    /// When the last report was received, or when the server was added.
     pub(crate) last_heard: Instant,
-    /// What the last question met, if it was not a report.
+    /// Failure of the last status request or connection attempt, if it failed.
     pub(crate) outage: Option<Outage>,
-    /// Reports asked for before this don't let it serve reads.
+    /// Time of the last failure. Reports requested earlier do not qualify the
+    /// server for reads.
     pub(crate) distrusted_at: Instant,
     /// Requests of open transactions that wait for a slot.
     pub(crate) urgent: VecDeque<Key<Request>>,
-    /// Connections that failed in a row.
+    /// Number of consecutive failed connection attempts.
     pub(crate) failures: u32,
-    /// No connection is opened before this.
+    /// Earliest time of the next connection attempt.
     pub(crate) connect_at: Instant,
-    /// Whether it tells where it stands with its answers alone.
+    /// Whether the server reports its position only with its answers.
     pub(crate) unfenced: bool,
-    /// When a commit was answered last, and when one last was not in time.
+    /// Times of the last answered and the last stalled commit.
     pub(crate) commits: Commits,
-    /// How far it is behind, where its answers tell.
+    /// Estimated replication lag, where answers report it.
     pub(crate) lag: Lag,
-    /// No statement is sent before this: it had no slot.
+    /// No statement is sent to the server before this time, because it had no
+    /// free slot.
     pub(crate) full_until: Instant,
-    /// Since when it is leaving.
+    /// When the server began to leave the group.
     pub(crate) leaving_since: Option<Instant>,
 }
 
-/// The newest report of a server.
+/// The newest status report of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct Report {
     pub(crate) status: Status,
-    /// It was true at some time after this.
+    /// When the report was requested. The report describes the server at some
+    /// time after this.
     pub(crate) requested_at: Instant,
     pub(crate) received_at: Instant,
 }
@@ -82,45 +85,45 @@
         }
     }
 
-    /// Takes a report in. Reports may cross: the higher version is the newer
-    /// one, and it is as young as the youngest question that it or an older
-    /// one answered.
+    /// Stores a status report. Reports may arrive out of order: the higher
+    /// version is newer. `requested_at` is the latest request time of all
+    /// reports up to the stored version.
     pub(crate) fn record_status(&mut self, now: Instant, status: Status, sent: Instant) {
         self.last_heard = now;
         self.outage = None;
-        let Some(seen) = &mut self.report else {
+        let Some(report) = &mut self.report else {
             self.report = Some(Report { status, requested_at: sent, received_at: now });
             return;
         };
-        let (old, new) = (seen.status.incarnation, status.incarnation);
+        let (old, new) = (report.status.incarnation, status.incarnation);
         if new < old {
             return;
         }
         if new > old {
-            *seen = Report { status, requested_at: sent, received_at: now };
+            *report = Report { status, requested_at: sent, received_at: now };
             return;
         }
-        if status.version >= seen.status.version {
-            seen.status = status;
-            seen.received_at = now;
+        if status.version >= report.status.version {
+            report.status = status;
+            report.received_at = now;
         }
-        seen.requested_at = seen.requested_at.max(sent);
+        report.requested_at = report.requested_at.max(sent);
     }
 
     pub(crate) fn status(&self) -> Option<&Status> {
-        self.report.as_ref().map(|seen| &seen.status)
+        self.report.as_ref().map(|report| &report.status)
     }
 
-    /// Whether it answers questions.
+    /// Whether the server responds to requests.
     pub(crate) fn is_responsive(&self, now: Instant) -> bool {
         if self.unfenced {
             return self.report.is_some() && self.outage.is_none();
         }
-        let quiet = now.since(self.last_heard) > REPORT_TIMEOUT;
-        self.report.is_some() && self.outage != Some(Outage::Refused) && !quiet
+        let silent = now.since(self.last_heard) > REPORT_TIMEOUT;
+        self.report.is_some() && self.outage != Some(Outage::Refused) && !silent
     }
 
-    /// Whether new work may go to it.
+    /// Whether the server accepts new work.
     pub(crate) fn is_available(&self, now: Instant) -> bool {
         self.configured && !self.leaving && self.slots > 0 && self.is_responsive(now)
     }
--- a/components/keeper/src/service.rs
+++ b/components/keeper/src/service.rs
@@ -1,4 +1,4 @@
-//! Services, as far as a group must know them.
+//! State of services in one group.
 
 use base::prelude::*;
 use config::model::{Declarations, Limits};
@@ -7,18 +7,18 @@
 
 use crate::server::Server;
 
-/// A service with requests at this group.
+/// A service that has sent requests to this group.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) name: Name,
     pub(crate) weight: u32,
     pub(crate) limits: Limits,
-    /// Time in which its requests should be answered.
+    /// Target time for answering a request.
     pub(crate) objective: Option<Duration>,
-    /// Requests that have not ended.
+    /// Number of requests that have not ended.
     pub(crate) open_requests: u32,
     pub(crate) budget: Budget,
-    /// Servers that selectors let it reach.
+    /// Servers that selectors allow the service to reach.
     pub(crate) reach: SmallVec<[Key<Server>; 4]>,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes over what the declarations say of it.
+    /// Applies the declarations of the service.
     pub(crate) fn update(
         &mut self,
         group: &Name,
--- a/components/keeper/src/setup.rs
+++ b/components/keeper/src/setup.rs
@@ -1,5 +1,5 @@
-//! Servers, leases and declarations as the control log has them, and the end
-//! of a lease.
+//! Changes of servers, leases and declarations in the control log, and the
+//! release of a lease.
 
 use base::prelude::*;
 use wire::data::{Outcome, Reason};
@@ -11,7 +11,8 @@
 use crate::server::Server;
 use crate::unfenced::Lag;
 
-/// Time that an open transaction may go on once its lease is to be given up.
+/// Time for which an open transaction may continue after its lease was lost or
+/// is being returned.
 const TRANSACTION_GRACE: Duration = Duration::from_secs(10);
 
 impl Group {
@@ -41,7 +42,7 @@
         self.refuse_waiting(now, Reason::Closing, out);
     }
 
-    /// Gives a returning lease up once no connection is left.
+    /// Releases a lease that is being returned once no connection is open.
     pub(crate) fn release_lease(&mut self, out: &mut Vec<Effect>) {
         let due = self.lease == Lease::Returning || self.closing;
         if due && self.conns.is_empty() && !self.lease_released {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Whether idle transactions have had their time.
+    /// Whether the grace period of open transactions has passed.
     pub(crate) fn is_grace_over(&self, now: Instant) -> bool {
         self.closing_since.is_some_and(|from| now.since(from) > TRANSACTION_GRACE)
     }
@@ -103,7 +104,7 @@
         server.setup = setup;
     }
 
-    /// Ends all that waits outside of a transaction.
+    /// Refuses all requests that wait outside of a transaction.
     fn refuse_waiting(&mut self, now: Instant, reason: Reason, out: &mut Vec<Effect>) {
         let waits = |stage| matches!(stage, Stage::Parked | Stage::Queued(_) | Stage::Backoff(_));
         let waiting = self.requests.iter().filter(|(_, request)| waits(request.stage));
@@ -113,14 +114,15 @@
         }
     }
 
-    /// Whether an idle connection of a server may stand at all.
+    /// Whether idle connections to a server may be kept.
     pub(crate) fn may_keep_idle(&self, server: Key<Server>) -> bool {
         let known = self.servers.get(server);
         let leads = self.is_unfenced() && self.is_control_primary(server);
         self.may_start() && known.is_some_and(|known| known.configured && (!known.leaving || leads))
     }
 
-    /// Connections of a server that stand, are opened or are being closed.
+    /// Number of connections to a server, including those being opened or
+    /// closed.
     pub(crate) fn connection_count(&self, server: Key<Server>) -> u32 {
         self.conns.iter().filter(|(_, conn)| conn.server == server).count() as u32
     }
--- a/components/keeper/src/shedding.rs
+++ b/components/keeper/src/shedding.rs
@@ -1,10 +1,11 @@
-//! Whether a request had better be refused than wait behind others.
+//! Load shedding: requests that could not be answered in time are refused at
+//! once.
 //!
-//! Under more load than the servers bear each queue would grow until all that
-//! waits is answered late or not at all. A request before which more work waits
-//! than can be done within its objective is refused at once, so that those that
-//! are taken are answered in time. Where no server can be used the wait is not
-//! for load but for a change of primary, and requests wait on.
+//! Without shedding, queues under overload grow until all waiting requests are
+//! answered late or not at all. A request is refused if the work queued before
+//! it takes longer than its objective, so that admitted requests are answered
+//! in time. Requests that wait because no server is usable, as during a change
+//! of primary, are not refused for load.
 
 use base::prelude::*;
 
@@ -14,8 +15,8 @@
 use crate::unfenced::{Need, will_show_soon};
 
 impl Group {
-    /// Whether the work that waits before a new request takes longer than its
-    /// objective.
+    /// Whether the work queued before a new request takes longer than the
+    /// request's objective.
     pub(crate) fn would_wait_too_long(&self, now: Instant, key: Key<Request>) -> bool {
         let Some(request) = self.requests.get(key).filter(|_| self.is_unfenced()) else {
             return false;
@@ -25,7 +26,7 @@
             return false;
         };
         let work = self.typical_run_time * self.waiting(lane);
-        // with every slot to itself it would wait no longer than for all of it
+        // more slots can only shorten this wait: even one slot is enough
         if work <= objective {
             return false;
         }
@@ -33,18 +34,18 @@
         slots > 0 && work / slots > objective
     }
 
-    /// Requests that wait in a lane.
+    /// Number of requests that wait in a lane.
     fn waiting(&self, lane: Lane) -> u32 {
         let count = match lane {
             Lane::Primary => self.lanes.primary.len(),
             Lane::Spare => self.lanes.spare.len(),
-            // those that no server shows enough to at present wait too
+            // parked reads, which no server can serve at present, wait as well
             Lane::Replica => self.lanes.replica.len() + self.parked.len(),
         };
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Slots of this keeper's share that serve a lane at present.
+    /// Number of slots in this keeper's share that serve a lane at present.
     fn slots_for(&self, now: Instant, request: &Request, lane: Lane) -> u32 {
         let primary = self.usable_control_primary(now).map(|(key, _)| key);
         let share = |key| self.servers.get(key).map_or(0, |server: &Server| server.share);
--- a/components/keeper/src/unfenced.rs
+++ b/components/keeper/src/unfenced.rs
@@ -1,10 +1,11 @@
-//! Groups whose servers acknowledge by themselves.
+//! Unfenced groups: groups whose servers acknowledge commits by themselves.
 //!
-//! Such a server answers a commit only once a replica has received it, and
-//! each answer tells where the server stands. So no majority is asked: the
-//! answer itself carries the mark of a commit and a sample for reads. What
-//! makes it safe is the lease, and that control replaces a primary only after
-//! each keeper has sealed: it has ended its work for the old one.
+//! Such a server answers a commit only after a replica has received it, and
+//! each answer reports the server's log position. The keeper therefore does not
+//! wait for a majority: the answer itself carries the mark of a commit and a
+//! sample for reads. Two rules replace fencing: a keeper acknowledges commits
+//! only while it holds its lease, and control replaces a primary only after
+//! each keeper has sealed, that is, has ended its work for the old primary.
 
 mod stall;
 
@@ -19,49 +20,52 @@
 use crate::request::{Completion, Lane, Request, Stage};
 use crate::server::Server;
 
-/// Time that statements have to end when a primary that leaves is replaced.
+/// Time that running statements have to finish when a leaving primary is
+/// replaced.
 const SEAL_GRACE: Duration = Duration::from_millis(300);
 
-/// Time between two samples that are kept.
+/// Minimum time between two stored samples.
 const SAMPLE_SPACING: Duration = Duration::from_millis(40);
 
-/// Lag up to which a read waits at a replica for what it must show.
+/// Maximum lag of a replica at which a read waits there for the mark that it
+/// needs.
 const SHORT_LAG: Duration = Duration::from_millis(60);
 
-/// Lag that is assumed of a replica that lacks what a read must show.
+/// Lag assumed of a replica that refused a read because it was behind.
 const ASSUMED_LAG: Duration = Duration::from_millis(200);
 
-/// Time after which what was seen of a replica's lag says nothing any more.
+/// Time for which an observed lag is considered valid.
 const LAG_VALIDITY: Duration = Duration::from_millis(500);
 
-/// Wait before a statement that found no slot is sent again.
+/// Delay before a statement that found no free slot is resent.
 const BUSY_PAUSE: Duration = Duration::from_millis(4);
 
-/// Wait before a statement that found no primary is sent again.
+/// Delay before a statement that did not reach the primary is resent.
 const NO_PRIMARY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Time for which a primary that leaves still gets work.
+/// Time for which a leaving primary still gets new work.
 const LEAVING_LIMIT: Duration = Duration::from_secs(4);
 
-/// Time without a sample after which one is asked for, as a part of the age
-/// that reads accept.
+/// Number of samples within the age that reads accept. A sample is requested if
+/// the latest is older than the age divided by this number.
 const SAMPLES_PER_AGE: u32 = 3;
 
-/// A group of this kind, beyond what each group has.
+/// State specific to unfenced groups.
 #[derive(Debug, Default)]
 pub(crate) struct Unfenced {
     /// Term that control has intended or established.
     pub(crate) term: Term,
-    /// Index of the control log that the setup stands at.
+    /// Index of the control log that the setup was taken from.
     pub(crate) index: u64,
-    /// Highest mark that was acknowledged to a caller, and the index at which
-    /// its statement was sent.
+    /// Highest mark acknowledged to a caller, and the control log index known
+    /// when its statement was sent.
     acked: Option<(Mark, u64)>,
-    /// The primary whose work is to end, and until when it may.
+    /// Seal in progress: the replaced primary and the deadline of its remaining
+    /// work.
     sealing: Option<Sealing>,
-    /// Highest term that was sealed.
+    /// Highest sealed term.
     sealed: Term,
-    /// Numbers for the reports that answers stand for.
+    /// Version of the last report that was derived from an answer.
     report_version: u64,
 }
 
@@ -72,30 +76,30 @@
     until: Instant,
 }
 
-/// What became of the commits on a server.
+/// Answer times of commits on a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Commits {
     last_answered: Instant,
     last_stalled: Option<Instant>,
 }
 
-/// What is seen of a replica's lag.
+/// Observed lag of a replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Lag {
     pub(crate) estimate: Duration,
     pub(crate) observed_at: Instant,
 }
 
-/// What a read must see.
+/// Data that a read must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Need {
-    /// No sample is young enough to tell.
+    /// No sample is recent enough to determine the mark.
     Unknown,
-    /// All up to a mark.
+    /// All records up to the mark.
     Mark(Mark),
 }
 
-/// Whether a replica is expected to show a mark soon.
+/// Whether a replica shows a mark already or is expected to soon.
 pub(crate) fn will_show_soon(now: Instant, server: &Server, mark: Mark) -> bool {
     let shows = server.status().is_some_and(|status| status.applied_mark() >= mark);
     let old = now.since(server.lag.observed_at) > LAG_VALIDITY;
@@ -103,19 +107,20 @@
 }
 
 impl Group {
-    /// Whether the servers of the group acknowledge by themselves.
+    /// Whether the servers of the group acknowledge commits by themselves.
     pub(crate) fn is_unfenced(&self) -> bool {
         self.unfenced.is_some()
     }
 
-    /// The primary that control names, with the term that it told last.
+    /// Returns the primary that control names, with the last term that its
+    /// answers reported.
     pub(crate) fn control_named_primary(&self) -> Option<(Key<Server>, Term)> {
         let key = self.control_primary.as_ref().and_then(|name| self.server_named(name))?;
         let term = self.servers.get(key)?.status().map(|status| status.term);
         Some((key, term.unwrap_or_default()))
     }
 
-    /// The primary that control names, if new work may go to it.
+    /// Returns the primary that control names, if it accepts new work.
     pub(crate) fn usable_control_primary(&self, now: Instant) -> Option<(Key<Server>, Term)> {
         let (key, term) = self.control_named_primary()?;
         let usable = |server: &Server| {
@@ -130,9 +135,10 @@
         self.control_named_primary().is_some_and(|(key, _)| key == server)
     }
 
-    /// Takes over which primary control names, before the setup itself.
+    /// Starts a seal if the control log names another primary or term. Called
+    /// before the setup is applied.
     pub(crate) fn follow_control(&mut self, now: Instant, setup: &Setup) {
-        let Some(told) = setup.unfenced else {
+        let Some(state) = setup.unfenced else {
             self.unfenced = None;
             return;
         };
@@ -143,9 +149,9 @@
             self.ring = Ring::spaced(SAMPLE_SPACING);
         }
         let unfenced = self.unfenced.get_or_insert_default();
-        unfenced.index = told.index;
-        let newer = told.term > unfenced.term;
-        unfenced.term = unfenced.term.max(told.term);
+        unfenced.index = state.index;
+        let newer = state.term > unfenced.term;
+        unfenced.term = unfenced.term.max(state.term);
         if !newer && same {
             return;
         }
@@ -154,7 +160,8 @@
         unfenced.sealing = Some(Sealing { term: unfenced.term, old_primary: old.or(waits), until });
     }
 
-    /// Ends what still runs for a replaced primary, and tells control.
+    /// Aborts the work that remains for a replaced primary and reports the seal
+    /// to control.
     pub(crate) fn seal(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let Some(sealing) = self.unfenced.as_ref().and_then(|unfenced| unfenced.sealing) else {
             return;
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Connections on which something of a primary's work is open.
+    /// Connections with a cycle or transaction open on a primary.
     fn connections_using(&self, old: Option<Key<Server>>) -> Vec<Key<Connection>> {
         let bound = |conn: &Connection| match conn.work {
             Work::Busy(_) | Work::Marking(_) | Work::Pinned(_) => Some(conn.server) == old,
@@ -186,7 +193,7 @@
         found.map(|(key, _)| key).collect()
     }
 
-    /// Takes the end of a cycle that tells where its server stands.
+    /// Handles the end of a cycle on a server that reports its position.
     pub(crate) fn reported(
         &mut self,
         now: Instant,
@@ -205,7 +212,7 @@
                 self.release_conn(now, conn);
             }
             Work::Busy(key) => self.cycle_answered(now, conn, key, reported, out),
-            // the session stands: its first report is the end of no request
+            // the session is established; its first report does not belong to a request
             Work::Opening => self.opened(now, conn),
             Work::Closing { .. } => {}
             _ => self.abort_conn(now, conn, out),
@@ -213,7 +220,7 @@
         self.unpark(now);
     }
 
-    /// Notes where a server stands.
+    /// Stores the position that a server reported.
     fn record_report(&mut self, now: Instant, key: Key<Server>, reported: Reported) {
         let primary = self.control_named_primary().is_some_and(|(named, _)| named == key);
         let (Some(server), Some(unfenced)) = (self.servers.get_mut(key), self.unfenced.as_mut())
@@ -223,7 +230,7 @@
         server.last_heard = now;
         server.outage = None;
         let Some(mark) = reported.mark else { return };
-        // an answer that comes without the lease says nothing of the present
+        // without the lease, another primary may have been promoted since the answer was sent
         if primary && !self.leased {
             return;
         }
@@ -252,7 +259,7 @@
         }
     }
 
-    /// Decides on a request whose cycle is over.
+    /// Handles the end of a request's cycle.
     fn cycle_answered(
         &mut self,
         now: Instant,
@@ -272,7 +279,7 @@
         let primary = attempt.primary;
         let sent_at = attempt.sent_at;
         if primary && !self.leased {
-            // nobody knows whether the server still leads
+            // without the lease, the server may no longer be the primary
             return self.abort_conn(now, conn, out);
         }
         attempt.completion = Some(Completion { at: now, failed: fault.is_some() });
@@ -327,7 +334,7 @@
         self.finish(now, key, Outcome::Done, Reason::None, out);
     }
 
-    /// Sends a request elsewhere that its server refused to run.
+    /// Resends a request that its server refused to run.
     fn retry_refused(
         &mut self,
         now: Instant,
@@ -355,7 +362,7 @@
         }
     }
 
-    /// Queues a request that surely did not run once more.
+    /// Queues a request that is certain not to have run for another attempt.
     fn resend(&mut self, now: Instant, key: Key<Request>, wait: Duration) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -365,7 +372,8 @@
         request.stage = Stage::Backoff(now + wait);
     }
 
-    /// What a read must see, as far as a sample tells.
+    /// Returns the mark that a read must see, as far as the samples determine
+    /// it.
     pub(crate) fn need(&self, now: Instant, request: &Request) -> Need {
         let Some(since) = request.sampled_since(now) else {
             return Need::Mark(request.floor.unwrap_or_default());
@@ -376,7 +384,8 @@
         }
     }
 
-    /// Where a parked read is to queue, once that is clear.
+    /// Chooses the lane of a parked read. Returns `None` while the read must
+    /// wait for a sample.
     pub(crate) fn unfenced_lane(&self, now: Instant, request: &Request) -> Option<Lane> {
         if request.is_fresh() {
             return Some(Lane::Primary);
@@ -385,8 +394,8 @@
         known.then_some(Lane::Replica)
     }
 
-    /// Asks the primary where it stands, when reads that accept an age lack a
-    /// sample and no other answer brings one.
+    /// Reads the primary's position if reads that accept a bounded age need a
+    /// sample and no other answer provides one.
     pub(crate) fn sample_unfenced(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if !self.sampling.needs_sample(now, SAMPLES_PER_AGE) {
             return;
--- a/components/keeper/src/unfenced/stall.rs
+++ b/components/keeper/src/unfenced/stall.rs
@@ -1,5 +1,5 @@
-//! Statements that their servers leave without an answer, and what they tell of
-//! the servers.
+//! Detection of statements that servers leave unanswered, and the resulting
+//! health of the servers.
 
 use base::prelude::*;
 use wire::control::Sight;
@@ -12,29 +12,31 @@
 use crate::request::{Request, Stage};
 use crate::server::Server;
 
-/// Time without an answer after which a statement's server is taken for silent.
+/// Time without an answer after which a statement's server is considered
+/// silent.
 const STATEMENT_STALL: Duration = Duration::from_millis(450);
 
-/// Time after which a read that its replica leaves without an answer is tried
-/// on another server.
+/// Time without an answer after which a read is aborted on its replica and
+/// retried on another server.
 const READ_STALL: Duration = Duration::from_millis(400);
 
-/// How much longer than a usual statement a read may take.
+/// Multiple of the typical run time within which a read is not aborted.
 const SLOW_READ_FACTOR: u32 = 8;
 
-/// How much longer a statement may take on a server that answers others.
+/// Factor by which the limit is raised on a server that answers other
+/// statements.
 const RESPONSIVE_FACTOR: u32 = 3;
 
-/// Time for which a commit that was not answered in time tells of the primary.
+/// Time for which an unanswered commit counts as a symptom of the primary.
 const COMMIT_STALL_VALIDITY: Duration = Duration::from_secs(2);
 
 /// Time without an answer to a commit, while other statements are answered,
-/// after which the primary is taken to have lost its replicas.
+/// after which the primary is considered cut off from its replicas.
 const COMMIT_STALL: Duration = Duration::from_millis(500);
 
 impl Group {
-    /// Gives up on statements that their servers leave without an answer, but
-    /// for those that may have committed something.
+    /// Aborts statements that their servers leave unanswered, except those that
+    /// may have committed.
     pub(crate) fn abort_stalled(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if !self.is_unfenced() {
             return;
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Notes the servers that leave a commit without an answer.
+    /// Records the servers that leave a commit unanswered.
     fn record_stalled_commits(&mut self, now: Instant) {
         let stalled = |request: &Request| {
             let commits = request.class != Class::Read && request.may_commit();
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Takes a server for silent until a new connection to it stands.
+    /// Marks a server as silent until a new connection to it succeeds.
     fn mark_silent(&mut self, key: Key<Server>, out: &mut Vec<Effect>) {
         if let Some(server) = self.servers.get_mut(key) {
             server.outage = Some(Outage::Silent);
@@ -103,7 +105,7 @@
         waits > if heard { limit * RESPONSIVE_FACTOR } else { limit }
     }
 
-    /// What is seen of the primary by the statements that it runs.
+    /// Determines the health of the primary from the statements that it runs.
     pub(crate) fn unfenced_sight(&self, now: Instant, key: Key<Server>) -> Sight {
         let Some(server) = self.servers.get(key) else { return Sight::Healthy };
         match server.outage {
--- a/components/keeper/tests/fuzz/link.rs
+++ b/components/keeper/tests/fuzz/link.rs
@@ -1,4 +1,5 @@
-//! Fake connections: what a server is to run, and what it has answered.
+//! Simulated connections: jobs that a server is to run, and events in transit
+//! to the group.
 
 use std::collections::VecDeque;
 
@@ -9,7 +10,7 @@
 use crate::oracle::{Oracle, Reply, Verb};
 use crate::server::Server;
 
-/// Something that a server is to do for a connection.
+/// A job that a server is to run for a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Job {
     Run { id: u64, owner: usize },
@@ -17,7 +18,7 @@
     Mark,
 }
 
-/// A transaction that is open at a server.
+/// An open transaction on a server.
 #[derive(Clone, Debug, Default)]
 pub struct Open {
     pub owner: usize,
@@ -25,7 +26,7 @@
     pub term: Term,
 }
 
-/// One connection.
+/// A simulated connection.
 #[derive(Debug)]
 pub struct Link {
     pub conn: Key<Connection>,
@@ -33,11 +34,11 @@
     pub standing: bool,
     pub jobs: VecDeque<Job>,
     pub open: Option<Open>,
-    /// What is on its way to the group.
+    /// Events in transit to the group.
     pub events: VecDeque<Event>,
-    /// Cycles sent whose end the group has not seen.
+    /// Number of cycles sent whose end the group has not received.
     pub due: u32,
-    /// Whether a caller's cycle, not a rollback, is due.
+    /// Whether the outstanding cycle belongs to a caller, not to a rollback.
     pub runs: bool,
     pub paused: bool,
 }
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Runs the next job at the server.
+    /// Runs the next job on the server.
     pub fn execute(&mut self, server: &mut Server, oracle: &mut Oracle) {
         let Some(job) = self.jobs.pop_front() else {
             return;
--- a/components/keeper/tests/fuzz/main.rs
+++ b/components/keeper/tests/fuzz/main.rs
@@ -1,7 +1,8 @@
-//! The group under random schedules of faults, against a simple oracle.
+//! Runs a group under random schedules of faults and checks it against a simple
+//! oracle.
 //!
-//! A schedule is drawn from its seed alone. `TREFOIL_FUZZ_SCHEDULES` sets how
-//! many are run, `TREFOIL_FUZZ_FIRST` the first seed.
+//! A schedule depends only on its seed. `TREFOIL_FUZZ_SCHEDULES` sets the
+//! number of schedules, `TREFOIL_FUZZ_FIRST` the first seed.
 
 mod link;
 mod oracle;
@@ -16,13 +17,13 @@
 use rand_chacha::ChaCha8Rng;
 use world::World;
 
-/// Schedules that are run by default.
+/// Default number of schedules.
 const SCHEDULES: u64 = 300;
 
-/// Schedules in which a broken rule must show.
-const FAULT_SCHEDULES: u64 = 2_000;
+/// Number of schedules within which each flaw must be detected.
+const FLAW_SCHEDULES: u64 = 2_000;
 
-/// Bytes that a schedule is drawn from.
+/// Number of random bytes that a schedule is drawn from.
 const BYTES: usize = 6_000;
 
 const STEPS: usize = 900;
@@ -32,7 +33,7 @@
     given.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
 }
 
-fn first() -> u64 {
+fn first_seed() -> u64 {
     let given = std::env::var("TREFOIL_FUZZ_FIRST").ok();
     given.and_then(|text| text.parse().ok()).unwrap_or_default()
 }
@@ -52,8 +53,8 @@
 
 #[test]
 fn promises_hold_in_each_schedule() {
-    let first = first();
-    for seed in first..first + schedules() {
+    let first_seed = first_seed();
+    for seed in first_seed..first_seed + schedules() {
         if let Err(panic) = catch_unwind(|| run(seed, None)) {
             eprintln!(
                 "failing seed: {seed}; run it alone by TREFOIL_FUZZ_FIRST={seed} TREFOIL_FUZZ_SCHEDULES=1"
@@ -64,7 +65,7 @@
 }
 
 fn is_found(flaw: Flaw) -> bool {
-    let found = (0..FAULT_SCHEDULES)
+    let found = (0..FLAW_SCHEDULES)
         .find(|seed| catch_unwind(AssertUnwindSafe(|| run(*seed, Some(flaw)))).is_err());
     eprintln!("{flaw} found by schedule {found:?}");
     found.is_some()
--- a/components/keeper/tests/fuzz/oracle.rs
+++ b/components/keeper/tests/fuzz/oracle.rs
@@ -1,4 +1,4 @@
-//! What callers were told, against what the servers hold.
+//! Compares the answers that callers received with the logs of the servers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,7 +8,7 @@
 
 use crate::server::Server;
 
-/// What a cycle does.
+/// The statement of a cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     Write,
@@ -18,7 +18,7 @@
     Rollback,
 }
 
-/// A request as its caller knows it.
+/// A request from its caller's point of view.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: u64,
@@ -26,11 +26,12 @@
     pub class: Class,
     pub within: bool,
     pub caller: usize,
-    /// Data may be as old as this; none for reads that only need the session's own.
+    /// Writes acknowledged before this time must be visible; `None` for reads
+    /// that only need the session's own writes.
     pub since: Option<Instant>,
-    /// Writes that the session knows of.
+    /// Writes that the session must see.
     pub known: BTreeSet<u64>,
-    /// Writes of the transaction that it ends.
+    /// Writes of the open transaction.
     pub ops: Vec<u64>,
     pub parts: u64,
     pub reply: Option<u64>,
@@ -38,7 +39,7 @@
     pub abandoned: bool,
 }
 
-/// What a server answered.
+/// Answer of a server.
 #[derive(Clone, Debug)]
 pub struct Reply {
     pub id: u64,
@@ -50,19 +51,20 @@
 pub struct Oracle {
     pub requests: BTreeMap<(Front, u64), Request>,
     pub replies: Vec<Reply>,
-    /// How often each request was sent.
+    /// Number of times each request was sent.
     pub sent: HashMap<u64, u32>,
     pub acked: Vec<(u64, Instant)>,
-    /// Writes of another keeper that it has not acknowledged yet.
+    /// Writes of another keeper that are not acknowledged yet.
     pub other_writes: Vec<u64>,
     pub forbidden: BTreeSet<u64>,
     pub repeatable: BTreeSet<u64>,
-    /// Servers that held a write in the term that it was written in.
+    /// Servers that held a write in the term in which it was written.
     pub holders: HashMap<(u64, Term), BTreeSet<usize>>,
 }
 
 impl Oracle {
-    /// Notes who holds what; to be called after each change of a log.
+    /// Records which writes a server holds. Must be called after each change of
+    /// a log.
     pub fn observe(&mut self, index: usize, server: &Server) {
         for entry in server.log.iter().rev().take(8).filter(|entry| entry.term == server.term) {
             for op in &entry.ops {
@@ -86,7 +88,7 @@
         request.reply = Some(number);
     }
 
-    /// Notes an end; returns the request.
+    /// Checks and records the end of a request; returns the request.
     pub fn end(&mut self, now: Instant, front: Front, end: &End, servers: &[Server]) -> Request {
         let request =
             self.requests.get_mut(&(front, end.request)).expect("an end of a known request");
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Lets the other keeper acknowledge what a majority holds.
+    /// Acknowledges the writes of the other keeper that a majority holds.
     pub fn acknowledge_other_writes(&mut self, now: Instant) {
         let waiting = std::mem::take(&mut self.other_writes);
         for op in waiting {
@@ -172,7 +174,8 @@
         }
     }
 
-    /// Notes that a request was sent; whether it is a repeat that must not overlap.
+    /// Records that a request was sent. Returns whether this is a retry that
+    /// must not overlap an earlier attempt.
     pub fn note_sent(&mut self, id: u64) -> bool {
         let request =
             self.requests.values().find(|request| request.id == id).expect("a known request");
@@ -183,15 +186,18 @@
         *sent > 1 && request.class == Class::Idempotent
     }
 
-    /// Checks the log that survived against all that was told.
+    /// Checks the final log against all acknowledgements.
     pub fn check_log(&self, server: &Server) {
         let mut count: HashMap<u64, u32> = HashMap::new();
         for op in server.log.iter().flat_map(|entry| &entry.ops) {
             *count.entry(*op).or_default() += 1;
         }
         for (op, times) in &count {
-            assert!(*times == 1 || self.repeatable.contains(op), "write {op} is doubled");
-            assert!(!self.forbidden.contains(op), "write {op} was not run, but stands in the log");
+            assert!(*times == 1 || self.repeatable.contains(op), "write {op} is in the log twice");
+            assert!(
+                !self.forbidden.contains(op),
+                "write {op} was reported as not run, but is in the log"
+            );
         }
         for (op, _) in &self.acked {
             assert!(count.contains_key(op), "write {op} was acknowledged, but is lost");
--- a/components/keeper/tests/fuzz/server.rs
+++ b/components/keeper/tests/fuzz/server.rs
@@ -1,15 +1,15 @@
-//! A fake server: a log with terms, and nothing else.
+//! A simulated server, reduced to its log and terms.
 
 use base::prelude::*;
 
-/// A record: the writes of one commit, or the start of a term.
+/// A log record: the writes of one commit, or the start of a term.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub term: Term,
     pub ops: Vec<u64>,
 }
 
-/// One fake server.
+/// A simulated server.
 #[derive(Debug)]
 pub struct Server {
     pub name: Name,
@@ -104,7 +104,7 @@
         self.version += 1;
     }
 
-    /// Copies at most `count` entries of the primary that it follows.
+    /// Replicates at most `count` entries of the primary's log.
     pub fn copy(&mut self, primary: &[Entry], count: usize, now: Instant) {
         let same = self.log.iter().zip(primary).take_while(|(a, b)| a.term == b.term).count();
         self.log.truncate(same);
@@ -127,7 +127,7 @@
         self.following = None;
     }
 
-    /// Writes that reads see.
+    /// Writes that are visible to reads.
     pub fn visible(&self) -> Vec<u64> {
         self.log[..self.applied].iter().flat_map(|entry| entry.ops.iter().copied()).collect()
     }
--- a/components/keeper/tests/fuzz/world.rs
+++ b/components/keeper/tests/fuzz/world.rs
@@ -1,4 +1,4 @@
-//! The world around one group: fronts, servers, connections and time.
+//! Simulated environment of one group: fronts, servers, connections and time.
 
 mod fault;
 mod request;
@@ -22,7 +22,7 @@
 const DEADLINE_MS: u64 = 3_000;
 const AGE_MS: u64 = 200;
 
-/// A question on its way to a server and back.
+/// A status request in transit to a server, or its answer in transit back.
 #[derive(Debug)]
 enum Probe {
     Asked { server: usize, sent: Instant },
@@ -39,7 +39,7 @@
     known: BTreeSet<u64>,
 }
 
-/// A failover that is under way.
+/// A failover in progress.
 #[derive(Debug)]
 struct Failover {
     term: Term,
@@ -53,7 +53,8 @@
     group: Group,
     servers: Vec<Server>,
     links: BTreeMap<Key<Connection>, Link>,
-    /// Jobs of closed connections, with the term in which they wait.
+    /// Jobs of closed connections that a server may still run, with the term
+    /// that the server was in when the connection was closed.
     detached: Vec<(Term, Link)>,
     probes: Vec<Probe>,
     callers: Vec<Caller>,
@@ -63,7 +64,7 @@
     term: Term,
     setup: Setup,
     leased: bool,
-    /// Servers that the group is cut off from.
+    /// Servers that the group can't reach.
     unreachable: [bool; SERVERS],
     next: u64,
     out: Vec<Effect>,
@@ -151,7 +152,7 @@
         world
     }
 
-    /// Lets the group meet its servers before anything happens.
+    /// Lets the group connect to its servers before any fault is injected.
     fn warm_up(&mut self) {
         for _ in 0..40 {
             self.progress();
@@ -172,7 +173,7 @@
             Effect::Connect { conn, server, .. } => self.connect(conn, &server),
             Effect::Send { conn, bytes, .. } => self.send(conn, &bytes),
             Effect::RollBack { conn } => self.roll_back(conn),
-            Effect::Seal { .. } => panic!("servers that are asked for reports need no seal"),
+            Effect::Seal { .. } => panic!("a fenced group needs no seal"),
             Effect::Mark { conn } => self.push(conn, Job::Mark),
             Effect::Close { conn } => self.close(conn),
             Effect::Pause { conn } => self.set_paused(conn, true),
@@ -242,16 +243,16 @@
             assert!(!self.setup.servers[server].leaving, "request {id} went to a leaving server");
         }
         if self.oracle.note_sent(id) {
-            let lives =
+            let still_runs =
                 self.detached.iter().any(|(term, detached)| self.may_write(id, *term, detached));
-            assert!(!lives, "request {id} was repeated while its first try could run");
+            assert!(!still_runs, "request {id} was repeated while its first try could run");
         }
         self.push(conn, Job::Run { id, owner: request.caller });
     }
 
     fn push(&mut self, conn: Key<Connection>, job: Job) {
         let link = self.links.get_mut(&conn).expect("a known connection");
-        // what is written to a broken connection reaches nobody
+        // data written to a broken connection is lost
         if !matches!(link.events.back(), Some(Event::Closed { .. })) {
             link.jobs.push_back(job);
         }
@@ -263,7 +264,8 @@
         }
     }
 
-    /// The group closes a connection: the server may still run what it has.
+    /// Closes a connection for the group. The server may still run the jobs it
+    /// received.
     fn close(&mut self, conn: Key<Connection>) {
         let link = self.links.get_mut(&conn).expect("a known connection");
         let mut detached = Link::new(conn, link.server);
@@ -447,7 +449,7 @@
         }
     }
 
-    /// Lets everything go on by one step.
+    /// Advances time by one tick and delivers everything in transit.
     fn progress(&mut self) {
         self.now += Duration::from_millis(10);
         for index in 0..SERVERS {
@@ -463,7 +465,8 @@
         self.feed(Event::Tick);
     }
 
-    /// Ends all faults, lets all requests end, and checks what is left.
+    /// Ends all faults, waits until all requests have ended, and checks the
+    /// final state.
     pub fn finish(mut self) {
         for index in 0..SERVERS {
             self.revive(index);
--- a/components/keeper/tests/fuzz/world/fault.rs
+++ b/components/keeper/tests/fuzz/world/fault.rs
@@ -1,4 +1,5 @@
-//! What goes wrong: servers, connections, failovers, leases and fronts.
+//! Faults: failures of servers and connections, failovers, changes of leases
+//! and lost fronts.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
@@ -9,7 +10,8 @@
 use crate::server::Server;
 
 impl World {
-    /// Whether a write that a broken connection left may still be acknowledged.
+    /// Whether a write left behind by a broken connection may still be
+    /// acknowledged.
     pub(super) fn may_write(&self, id: u64, term: Term, detached: &Link) -> bool {
         let waits = detached
             .jobs
@@ -21,7 +23,8 @@
         waits && leads && left < 2
     }
 
-    /// Cuts one server off from the others, and the group from one or both of those.
+    /// Partitions one server from the other servers, and the group from one or
+    /// both of those.
     pub(super) fn partition(&mut self, index: usize, first: bool, second: bool) {
         for (other, server) in self.servers.iter_mut().enumerate() {
             server.cut = other == index;
@@ -31,8 +34,8 @@
         self.unreachable[(index + 2) % SERVERS] = second;
     }
 
-    /// Cuts the primary off and replaces it; the group may still reach the
-    /// replica that follows the new one.
+    /// Partitions the primary and promotes another server. The group may still
+    /// reach the replica that follows the new primary.
     pub(super) fn replace_primary(&mut self, both: bool) {
         let leads = |server: &Server| server.alive && server.role == Role::Primary;
         let primaries = (0..SERVERS).filter(|index| leads(&self.servers[*index]));
@@ -59,7 +62,7 @@
         self.unreachable = [false; SERVERS];
     }
 
-    /// A caller leaves; a new one takes its place.
+    /// Disconnects a caller and replaces it by a new one.
     pub(super) fn leave(&mut self, number: usize) {
         let front = self.fronts[self.callers[number].front];
         self.forget(number);
@@ -75,7 +78,7 @@
         self.feed(Event::Disconnected { front: gone });
     }
 
-    /// A connection breaks; what the server has answered may be cut.
+    /// Breaks a random connection. Answers in transit may be lost.
     pub(super) fn break_link(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if self.links.is_empty() {
             return Ok(());
@@ -105,7 +108,8 @@
         }
     }
 
-    /// A server runs what a broken connection left it, unless it was fenced since.
+    /// Runs a job left behind by a broken connection, unless its server was
+    /// fenced since.
     pub(super) fn step_detached(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if self.detached.is_empty() {
             return Ok(());
@@ -119,7 +123,7 @@
         Ok(())
     }
 
-    /// Another keeper writes at the primary of the highest term.
+    /// Simulates another keeper that writes on the primary of the highest term.
     pub(super) fn write_by_other_keeper(&mut self) {
         let leads = |server: &Server| server.alive && server.role == Role::Primary;
         let primaries = (0..SERVERS).filter(|index| leads(&self.servers[*index]));
@@ -149,7 +153,7 @@
         Ok(())
     }
 
-    /// Tells a server that was left out of a failover whom to follow.
+    /// Makes a server that was left out of a failover follow the new primary.
     pub(super) fn rejoin(&mut self, target: usize) {
         let term = self.servers[target].term;
         let leads = |server: &Server| server.role == Role::Primary && server.term > term;
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Takes one step of the failover under way, at one server.
+    /// Performs one step of the failover in progress on one server.
     pub(super) fn advance(&mut self, target: usize) {
         let Some(failover) = &mut self.failover else {
             return;
--- a/components/keeper/tests/fuzz/world/request.rs
+++ b/components/keeper/tests/fuzz/world/request.rs
@@ -1,4 +1,4 @@
-//! What callers ask and what they are told.
+//! Requests of callers, and the handling of their ends.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A caller asks for something new.
+    /// Sends a new request of a random caller.
     pub(super) fn ask(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let number = u.choose_index(CALLERS)?;
         let id = self.next;
--- a/components/keeper/tests/group.rs
+++ b/components/keeper/tests/group.rs
@@ -1,4 +1,4 @@
-//! Single rules of a group, one by one.
+//! Tests of the rules of a group, one rule each.
 
 use std::sync::Arc;
 
@@ -99,7 +99,7 @@
         }));
     }
 
-    /// A group whose servers report and whose connections are open.
+    /// A group whose servers have reported and whose connections are open.
     fn ready(servers: u16) -> Self {
         let mut bench = Self::new(servers, 100);
         bench.report_all(servers, 1);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_with_a_time_to_come_back() {
+fn a_full_queue_refuses_requests_with_a_retry_delay() {
     let mut bench = Bench::new(3, 2);
     for _ in 0..3 {
         bench.ask(Run::default());
@@ -236,7 +236,7 @@
         bench.feed(Event::Marked { conn, mark: Mark::new(1, 10) });
         bench.out.clear();
     }
-    // the one slot of the primary is taken, so the next request has to queue
+    // the only slot of the primary is taken, so the next request has to queue
     bench.ask(Run { deadline_ms: 60_000, ..Run::default() });
     bench.ask(Run::default());
     bench.pass(1);
@@ -249,7 +249,7 @@
     bench.ask(Run::default());
     let (conn, _) = bench.sent()[0];
     let next = bench.ask(Run::default());
-    // the server begins a term, so the cycle of the old one is cut
+    // the server enters a new term, so the cycle of the old term is aborted
     let mut begun = status(0, 2, 10, 2);
     begun.history = "1:0,2:10".parse().unwrap();
     bench.feed(Event::Status { status: begun, sent: bench.now });
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_caller_that_takes_nothing_pauses_its_connection_alone() {
+fn a_caller_that_grants_no_credit_pauses_only_its_own_connection() {
     let mut bench = Bench::ready(3);
     let request = bench.ask(Run { window: 100, ..Run::default() });
     let (conn, _) = bench.sent()[0];
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn what_was_held_back_goes_out_as_the_caller_takes_it() {
+fn a_held_back_answer_is_sent_as_the_caller_grants_credit() {
     let mut bench = Bench::ready(3);
     let request = bench.ask(Run { window: 10, ..Run::default() });
     let (conn, _) = bench.sent()[0];
--- a/components/keeper/tests/unfenced/bench.rs
+++ b/components/keeper/tests/unfenced/bench.rs
@@ -1,4 +1,4 @@
-//! One group of a primary and two replicas, driven by hand.
+//! An unfenced group of a primary and two replicas, driven event by event.
 
 use std::sync::Arc;
 
@@ -68,8 +68,8 @@
 }
 
 impl Bench {
-    /// A group of a primary and two replicas that holds its lease; nothing is
-    /// connected yet.
+    /// A group of a primary and two replicas that holds its lease. No
+    /// connection is open yet.
     pub fn new() -> Self {
         let group = Group::new(name("group"), name("zone"), 1);
         let now = Instant::from_millis(10_000);
@@ -81,7 +81,7 @@
         bench
     }
 
-    /// The same with its first connections open.
+    /// A group whose first connections are open.
     pub fn ready() -> Self {
         let mut bench = Self::new();
         bench.open_all();
@@ -105,7 +105,8 @@
         self.feed(Event::Setup(setup));
     }
 
-    /// The same with more slots on each server.
+    /// A group with open connections and the given number of slots on each
+    /// server.
     pub fn with_slots(slots: u32) -> Self {
         let mut bench = Self::new();
         for seat in &mut bench.seats {
@@ -135,7 +136,7 @@
         self.feed(Event::Reported { conn, reported });
     }
 
-    /// The whole answer to a statement.
+    /// Feeds the complete answer to a statement.
     pub fn answer(&mut self, conn: Key<Connection>, status: u8, mark: Mark) {
         let piece = Piece { bytes: Bytes::from_static(b"rows"), kind: Kind::Complete };
         self.feed(Event::Piece { conn, piece });
@@ -165,7 +166,7 @@
         self.next
     }
 
-    /// Opens a transaction on the primary; its connection.
+    /// Opens a transaction on the primary and returns its connection.
     pub fn begin(&mut self) -> Key<Connection> {
         self.run(transaction(false, false));
         let (conn, ..) = self.sent()[0].clone();
@@ -173,7 +174,7 @@
         conn
     }
 
-    /// Has control replace the primary, which leaves.
+    /// Makes control replace the primary, which is leaving the group.
     pub fn replace_leaving(&mut self) {
         self.seats[0].leaving = true;
         self.set_up(Some("server-0"), 1, 11);
@@ -191,7 +192,8 @@
         self.run(Run { class: Class::Read as i32, age_ms, fresh, floor, ..Run::default() })
     }
 
-    /// What was sent: where, which request, and what the server must show first.
+    /// Drains the effects; returns the sent requests, each with its connection,
+    /// server, number and the mark that the server must show first.
     pub fn sent(&mut self) -> Vec<(Key<Connection>, String, u64, Option<Mark>)> {
         let conns = &self.conns;
         let server = |conn| conns.iter().find(|(known, _)| *known == conn).unwrap().1.to_string();
@@ -213,7 +215,7 @@
         ends.collect()
     }
 
-    /// What was reported of the primary; the effects stay.
+    /// The symptoms of the primary that were reported. Keeps the effects.
     pub fn sights(&self) -> Vec<Sight> {
         let sights = self.out.iter().filter_map(|effect| match effect {
             Effect::Report(symptom) => Some(symptom.sight()),
@@ -231,7 +233,7 @@
     }
 }
 
-/// A statement of one caller's transaction.
+/// A statement in the transaction of one fixed caller.
 pub fn transaction(within: bool, commits: bool) -> Run {
     Run { class: Class::Write as i32, fresh: true, caller: 77, within, commits, ..Run::default() }
 }
--- a/components/keeper/tests/unfenced/leaving.rs
+++ b/components/keeper/tests/unfenced/leaving.rs
@@ -1,4 +1,4 @@
-//! A primary that leaves or is to be replaced.
+//! A primary that leaves the group or is replaced by control.
 
 use base::prelude::*;
 use keeper::Event;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_commit_while_a_primary_leaves_raises_what_is_sealed_and_what_its_session_must_see() {
+fn a_commit_while_a_primary_leaves_raises_the_sealed_mark_and_the_mark_of_its_session() {
     let mut bench = Bench::ready();
     let conn = bench.begin();
     bench.replace_leaving();
--- a/components/keeper/tests/unfenced/main.rs
+++ b/components/keeper/tests/unfenced/main.rs
@@ -1,4 +1,4 @@
-//! Groups whose servers acknowledge by themselves.
+//! Unfenced groups: groups whose servers acknowledge commits by themselves.
 
 mod bench;
 mod leaving;
@@ -20,7 +20,7 @@
     bench.out.clear();
     bench.report(first, b'I', None, Mark::new(1, 100));
     let sent = bench.sent();
-    assert_eq!(sent.len(), 1, "the request goes out once the session stands");
+    assert_eq!(sent.len(), 1, "the request goes out once the session is established");
     assert_eq!((sent[0].0, sent[0].2), (first, request));
     assert!(bench.ends().is_empty());
 }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_read_that_accepts_an_age_goes_to_a_replica_with_the_oldest_sample_that_will_do() {
+fn a_read_that_accepts_an_age_goes_to_a_replica_with_the_oldest_sample_that_qualifies() {
     let mut bench = Bench::ready();
     bench.pass(500);
     bench.write();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_read_without_a_sample_young_enough_asks_the_primary_where_it_stands() {
+fn a_read_without_a_sample_young_enough_reads_the_position_of_the_primary() {
     let mut bench = Bench::ready();
     bench.pass(1_500);
     bench.out.clear();
--- a/components/keeper/tests/unfenced/overload.rs
+++ b/components/keeper/tests/unfenced/overload.rs
@@ -1,4 +1,4 @@
-//! More load than the servers bear, or replicas that can't take their part.
+//! Overload, and replicas that can't serve their part of the reads.
 
 use base::prelude::*;
 use keeper::{Connection, Effect};
@@ -7,20 +7,22 @@
 
 use crate::bench::Bench;
 
-/// The end of a request.
+/// A request that has ended.
 struct Finished {
     end: End,
-    /// When it came, from the first on, and how long it took.
-    came: Duration,
+    /// Time from the start of the run to the request's arrival, and from its
+    /// arrival to its end.
+    arrived: Duration,
     took: Duration,
 }
 
-/// Reads that take `run` milliseconds each come in faster than the servers can
-/// run them; what becomes of each.
+/// Sends reads that each run for `run` milliseconds, one every `every`
+/// milliseconds, which may be faster than the servers can run them. Returns the
+/// end of each read.
 fn overload(run: u64, every: u64, count: u64) -> Vec<Finished> {
     let mut bench = Bench::with_slots(2);
     let mut ends = Vec::new();
-    let mut came = std::collections::HashMap::new();
+    let mut arrived = std::collections::HashMap::new();
     let began = bench.now;
     let mut running: Vec<(Instant, Key<Connection>)> = Vec::new();
     for turn in 0..count * every / 10 + 200 {
@@ -28,7 +30,7 @@
             for _ in 0..(10 / every).max(1) {
                 let busy = Run { service: "busy".into(), age_ms: 2_000, ..Run::default() };
                 let request = bench.run(Run { class: Class::Read as i32, ..busy });
-                came.insert(request, bench.now);
+                arrived.insert(request, bench.now);
             }
         }
         bench.pass(10);
@@ -37,8 +39,8 @@
         bench.out = kept.extract_if(.., |effect| matches!(effect, Effect::Send { .. })).collect();
         ends.extend(kept.into_iter().filter_map(|effect| match effect {
             Effect::End { end, .. } => Some(Finished {
-                came: came[&end.request].since(began),
-                took: now.since(came[&end.request]),
+                arrived: arrived[&end.request].since(began),
+                took: now.since(arrived[&end.request]),
                 end,
             }),
             _ => None,
@@ -54,13 +56,13 @@
 }
 
 #[test]
-fn reads_that_no_replica_can_show_use_the_primarys_slots_of_this_keeper() {
+fn reads_that_no_replica_can_serve_use_this_keepers_share_of_the_primary() {
     let mut bench = Bench::with_slots(5);
     for seat in &mut bench.seats {
         seat.share = 3;
     }
     bench.set_up(Some("server-0"), 1, 12);
-    // both replicas are far behind and say so
+    // both replicas lag far behind and refuse the read
     for _ in 0..2 {
         bench.read(1_000, Some(Mark::new(1, 130)));
         let sent = bench.sent();
@@ -76,13 +78,13 @@
     }
     let more = bench.sent();
     assert!(more.iter().all(|(_, server, ..)| server == "server-0"), "{more:?}");
-    assert_eq!(retried.len() + more.len(), 3, "the other slots are another keeper's");
-    // another keeper's writes took the rest, and one of ours comes
+    assert_eq!(retried.len() + more.len(), 3, "the other slots belong to another keeper");
+    // another keeper's writes take the remaining slots before this keeper sends a write
     let write = bench.write();
     let (conn, server, ..) = bench.sent()[0].clone();
     assert_eq!(server, "server-0");
     bench.report(conn, b'I', Some(Fault::Busy), Mark::new(1, 130));
-    // a read ends after the wait for a slot and before the write is tried again
+    // a read ends after the wait for a slot and before the write is resent
     bench.now += Duration::from_millis(5);
     bench.answer(retried[0].0, b'I', Mark::new(1, 130));
     assert!(bench.sent().is_empty(), "no read goes before a write that found no slot");
@@ -92,16 +94,16 @@
 }
 
 #[test]
-fn under_more_load_than_fits_what_is_taken_is_answered_in_time_and_the_rest_refused_at_once() {
-    // five slots for reads, 40 ms each: 125 a second of the 200 that come
+fn under_overload_admitted_requests_are_answered_in_time_and_the_rest_refused_at_once() {
+    // five slots for reads of 40 ms each serve 125 of the 200 reads that arrive per second
     let ends = overload(40, 5, 400);
     assert_eq!(ends.len(), 400);
     let mut refused = 0;
-    for Finished { end, came, took } in &ends {
+    for Finished { end, arrived, took } in &ends {
         if end.outcome() == Outcome::Done {
-            // the objective, the run itself and the clock's steps, once it is
-            // known how long such a read runs
-            let known = *came >= Duration::from_millis(500);
+            // the objective, the run time and the step of the clock; the run time is only known
+            // after the first reads
+            let known = *arrived >= Duration::from_millis(500);
             assert!(!known || *took <= Duration::from_millis(100 + 40 + 20), "{took:?}");
             continue;
         }
@@ -113,14 +115,14 @@
 }
 
 #[test]
-fn nothing_is_refused_for_load_where_the_servers_bear_it() {
+fn no_request_is_refused_if_the_servers_can_handle_the_load() {
     let ends = overload(40, 10, 400);
-    assert!(ends.iter().all(|told| told.end.outcome() == Outcome::Done));
+    assert!(ends.iter().all(|finished| finished.end.outcome() == Outcome::Done));
     assert_eq!(ends.len(), 400);
 }
 
 #[test]
-fn what_waits_for_a_change_of_primary_is_not_refused_for_load() {
+fn requests_that_wait_for_a_change_of_primary_are_not_refused_for_load() {
     let mut bench = Bench::ready();
     bench.set_up(None, 2, 12);
     for _ in 0..100 {
@@ -131,8 +133,8 @@
 }
 
 #[test]
-fn a_request_that_is_done_late_is_told_of_and_one_in_time_is_not() {
-    let told =
+fn a_request_that_misses_its_objective_is_logged_and_one_in_time_is_not() {
+    let finished =
         |bench: &Bench| bench.out.iter().filter(|effect| matches!(effect, Effect::Log(_))).count();
     for (wait, lines) in [(50, 0), (150, 1)] {
         let mut bench = Bench::ready();
@@ -141,6 +143,6 @@
         let (conn, ..) = bench.sent()[0].clone();
         bench.pass(wait);
         bench.answer(conn, b'I', Mark::new(1, 101));
-        assert_eq!(told(&bench), lines, "after {wait} ms of an objective of 100");
+        assert_eq!(finished(&bench), lines, "after {wait} ms of an objective of 100");
     }
 }
--- a/components/keeper/tests/unfenced/reach.rs
+++ b/components/keeper/tests/unfenced/reach.rs
@@ -1,4 +1,4 @@
-//! Servers that can't be reached or leave statements without an answer.
+//! Servers that can't be reached or leave statements unanswered.
 
 use base::prelude::*;
 use keeper::{Event, Outage};
@@ -8,7 +8,7 @@
 use crate::bench::{Bench, name};
 
 #[test]
-fn a_read_whose_replica_broke_is_sent_to_another_server() {
+fn a_read_whose_replica_failed_is_sent_to_another_server() {
     let mut bench = Bench::ready();
     let request = bench.read(1_000, None);
     let (conn, server, ..) = bench.sent()[0].clone();
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn commits_without_an_answer_beside_others_with_one_tell_of_lost_replicas() {
+fn commits_left_unanswered_while_reads_are_answered_report_the_primary_as_cut_off() {
     let mut bench = Bench::ready();
-    // its deadline passes soon; what it showed of the primary must be told before
+    // the deadline of the commit passes soon; the symptom must be reported before
     let (class, fresh) = (Class::Write as i32, true);
     bench.run(Run { class, fresh, commits: true, deadline_ms: 800, ..Run::default() });
     bench.sent();
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn a_server_to_which_one_connection_failed_late_is_tried_again_though_others_stand() {
+fn a_server_is_tried_again_after_a_late_connection_failure_although_other_connections_are_open() {
     let mut bench = Bench::ready();
     let before = bench.conns.len();
-    // the last attempt of a cut fails after another one has opened
+    // the last connection attempt of a network failure fails after a later one has succeeded
     for server in ["server-1", "server-2"] {
         bench.feed(Event::Unreachable { server: name(server), outage: Outage::Silent });
     }
