--- a/components/keeper/src/request.rs
+++ b/components/keeper/src/request.rs
@@ -110,6 +110,7 @@
     /// Term of the server, or of the open transaction that the request belongs
     /// to.
     pub(crate) term: Term,
+    /// Incarnation of the server when the attempt was sent.
     pub(crate) incarnation: u64,
     /// Index of the control log known when the attempt was sent.
     pub(crate) index: u64,
--- a/components/keeper/src/unfenced.rs
+++ b/components/keeper/src/unfenced.rs
@@ -135,8 +135,8 @@
         self.control_named_primary().is_some_and(|(key, _)| key == server)
     }
 
-    /// Starts a seal if the control log names another primary or term. Called
-    /// before the setup is applied.
+    /// Starts a seal if the control log names another primary or a newer term.
+    /// Must be called before the setup is applied.
     pub(crate) fn follow_control(&mut self, now: Instant, setup: &Setup) {
         let Some(state) = setup.unfenced else {
             self.unfenced = None;
--- a/components/keeper/src/unfenced/stall.rs
+++ b/components/keeper/src/unfenced/stall.rs
@@ -124,8 +124,8 @@
         if open.any(silent) {
             return Sight::Silent;
         }
-        let Commits { last_answered: cycle_answered, last_stalled: stalled } = server.commits;
-        let lost = |at: Instant| at > cycle_answered && now.since(at) < COMMIT_STALL_VALIDITY;
-        if stalled.is_some_and(lost) { Sight::CutOff } else { Sight::Healthy }
+        let Commits { last_answered, last_stalled } = server.commits;
+        let lost = |at: Instant| at > last_answered && now.since(at) < COMMIT_STALL_VALIDITY;
+        if last_stalled.is_some_and(lost) { Sight::CutOff } else { Sight::Healthy }
     }
 }
--- a/components/keeper/tests/fuzz/link.rs
+++ b/components/keeper/tests/fuzz/link.rs
@@ -31,7 +31,7 @@
 pub struct Link {
     pub conn: Key<Connection>,
     pub server: usize,
-    pub standing: bool,
+    pub established: bool,
     pub jobs: VecDeque<Job>,
     pub open: Option<Open>,
     /// Events in transit to the group.
@@ -48,7 +48,7 @@
         Self {
             conn,
             server,
-            standing: false,
+            established: false,
             jobs: VecDeque::new(),
             open: None,
             events: VecDeque::new(),
--- a/components/keeper/tests/fuzz/world.rs
+++ b/components/keeper/tests/fuzz/world.rs
@@ -94,7 +94,7 @@
 
 fn setup(servers: &[Server]) -> Setup {
     let zone = |index: usize| Name::new(&format!("zone-{index}")).expect("a name");
-    let seat = |(index, server): (usize, &Server)| event::Server {
+    let member = |(index, server): (usize, &Server)| event::Server {
         incarnation: 1,
         name: server.name.clone(),
         address: ([127, 0, 0, 1], 5432 + index as u16).into(),
@@ -110,7 +110,7 @@
         unfenced: None,
         declared: SERVERS as u32,
         primary: None,
-        servers: servers.iter().enumerate().map(seat).collect(),
+        servers: servers.iter().enumerate().map(member).collect(),
         lease: Lease::Held,
         declarations: Arc::new(declarations()),
     }
@@ -217,7 +217,7 @@
 
     fn use_link(&mut self, conn: Key<Connection>) -> &mut Link {
         let link = self.links.get_mut(&conn).expect("a send on a known connection");
-        assert!(link.standing, "a send before the connection is open");
+        assert!(link.established, "a send before the connection is open");
         assert_eq!(link.due, 0, "a connection was used before its last cycle was over");
         link.due += 1;
         link
@@ -271,10 +271,10 @@
         let mut detached = Link::new(conn, link.server);
         std::mem::swap(&mut detached.jobs, &mut link.jobs);
         detached.open = link.open.take();
-        detached.standing = link.standing;
+        detached.established = link.established;
         link.events = [Event::Closed { conn }].into();
         (link.paused, link.runs) = (false, false);
-        if detached.standing && !detached.jobs.is_empty() {
+        if detached.established && !detached.jobs.is_empty() {
             self.detached.push((self.servers[detached.server].term, detached));
         }
     }
@@ -346,7 +346,7 @@
         if !server.alive || closed {
             return;
         }
-        if !link.standing {
+        if !link.established {
             return;
         }
         link.execute(server, &mut self.oracle);
@@ -358,9 +358,9 @@
             return;
         };
         let closing = matches!(link.events.front(), Some(Event::Closed { .. }));
-        if !link.standing && !closing {
+        if !link.established && !closing {
             if self.servers[link.server].alive {
-                link.standing = true;
+                link.established = true;
                 self.feed(Event::Opened { conn });
             } else {
                 self.links.remove(&conn);
@@ -514,5 +514,5 @@
 }
 
 fn is_busy(link: &Link) -> bool {
-    !link.standing || !link.jobs.is_empty() || !link.events.is_empty()
+    !link.established || !link.jobs.is_empty() || !link.events.is_empty()
 }
--- a/components/keeper/tests/fuzz/world/fault.rs
+++ b/components/keeper/tests/fuzz/world/fault.rs
@@ -103,7 +103,7 @@
         link.events.truncate(kept);
         link.events.push_back(Event::Closed { conn });
         link.paused = false;
-        if link.standing && !detached.jobs.is_empty() {
+        if link.established && !detached.jobs.is_empty() {
             self.detached.push((self.servers[detached.server].term, detached));
         }
     }
--- a/components/keeper/tests/group.rs
+++ b/components/keeper/tests/group.rs
@@ -47,7 +47,7 @@
     }
 }
 
-fn seat(index: u16) -> event::Server {
+fn member(index: u16) -> event::Server {
     event::Server {
         incarnation: 1,
         name: name(&format!("server-{index}")),
@@ -83,7 +83,7 @@
         let now = Instant::from_millis(1_000);
         let declared = declarations(u32::from(servers), queue);
         let mut bench = Self { group, now, out: Vec::new(), next: 0, declared };
-        bench.set_up((0..servers).map(seat).collect());
+        bench.set_up((0..servers).map(member).collect());
         bench.feed(Event::Leased(true));
         bench
     }
@@ -322,7 +322,7 @@
 #[test]
 fn a_leaving_server_gets_nothing_new() {
     let mut bench = Bench::ready(3);
-    let mut servers: Vec<_> = (0..3).map(seat).collect();
+    let mut servers: Vec<_> = (0..3).map(member).collect();
     servers[1].leaving = true;
     bench.set_up(servers);
     bench.now += Duration::from_millis(1);
@@ -336,7 +336,7 @@
 #[test]
 fn a_replica_that_policy_keeps_from_a_service_is_not_used() {
     let mut bench = Bench::ready(3);
-    let mut servers: Vec<_> = (0..3).map(seat).collect();
+    let mut servers: Vec<_> = (0..3).map(member).collect();
     servers[0].labels.insert(name("tier"), name("main"));
     bench.declared.selectors.get_mut("all").unwrap().backends =
         [(name("tier"), name("main"))].into();
--- a/components/keeper/tests/unfenced/bench.rs
+++ b/components/keeper/tests/unfenced/bench.rs
@@ -32,7 +32,7 @@
     }
 }
 
-pub fn seat(index: u16) -> event::Server {
+pub fn member(index: u16) -> event::Server {
     event::Server {
         name: name(&format!("server-{index}")),
         incarnation: 1,
@@ -52,15 +52,15 @@
     pub now: Instant,
     pub out: Vec<Effect>,
     pub next: u64,
-    pub seats: Vec<event::Server>,
+    pub members: Vec<event::Server>,
     pub conns: Vec<(Key<Connection>, Name)>,
 }
 
-pub fn setup(seats: &[event::Server], primary: Option<&str>, term: u64, index: u64) -> Setup {
+pub fn setup(members: &[event::Server], primary: Option<&str>, term: u64, index: u64) -> Setup {
     Setup {
         declared: 1,
         primary: primary.map(name),
-        servers: seats.to_vec(),
+        servers: members.to_vec(),
         lease: Lease::Held,
         declarations: Arc::new(declarations()),
         unfenced: Some(Unfenced { term: Term(term), index }),
@@ -73,9 +73,9 @@
     pub fn new() -> Self {
         let group = Group::new(name("group"), name("zone"), 1);
         let now = Instant::from_millis(10_000);
-        let seats: Vec<_> = (0..3).map(seat).collect();
+        let members: Vec<_> = (0..3).map(member).collect();
         let (out, conns) = (Vec::new(), Vec::new());
-        let mut bench = Self { group, now, out, next: 0, seats, conns };
+        let mut bench = Self { group, now, out, next: 0, members, conns };
         bench.feed(Event::Leased(true));
         bench.set_up(Some("server-0"), 1, 10);
         bench
@@ -101,7 +101,7 @@
     }
 
     pub fn set_up(&mut self, primary: Option<&str>, term: u64, index: u64) {
-        let setup = setup(&self.seats, primary, term, index);
+        let setup = setup(&self.members, primary, term, index);
         self.feed(Event::Setup(setup));
     }
 
@@ -109,8 +109,8 @@
     /// server.
     pub fn with_slots(slots: u32) -> Self {
         let mut bench = Self::new();
-        for seat in &mut bench.seats {
-            (seat.slots, seat.share, seat.connections) = (slots, slots, slots + 4);
+        for member in &mut bench.members {
+            (member.slots, member.share, member.connections) = (slots, slots, slots + 4);
         }
         bench.set_up(Some("server-0"), 1, 11);
         for _ in 0..3 {
@@ -176,7 +176,7 @@
 
     /// Makes control replace the primary, which is leaving the group.
     pub fn replace_leaving(&mut self) {
-        self.seats[0].leaving = true;
+        self.members[0].leaving = true;
         self.set_up(Some("server-0"), 1, 11);
         self.set_up(None, 2, 20);
         self.out.clear();
--- a/components/keeper/tests/unfenced/leaving.rs
+++ b/components/keeper/tests/unfenced/leaving.rs
@@ -42,7 +42,7 @@
     let mut bench = Bench::ready();
     bench.write();
     let (conn, ..) = bench.sent()[0].clone();
-    bench.seats[0].leaving = true;
+    bench.members[0].leaving = true;
     bench.set_up(Some("server-0"), 1, 11);
     bench.set_up(None, 2, 20);
     assert!(bench.seals().is_empty(), "a commit still runs");
--- a/components/keeper/tests/unfenced/overload.rs
+++ b/components/keeper/tests/unfenced/overload.rs
@@ -10,9 +10,9 @@
 /// A request that has ended.
 struct Finished {
     end: End,
-    /// Time from the start of the run to the request's arrival, and from its
-    /// arrival to its end.
+    /// Time from the start of the run to the request's arrival.
     arrived: Duration,
+    /// Time from the request's arrival to its end.
     took: Duration,
 }
 
@@ -58,8 +58,8 @@
 #[test]
 fn reads_that_no_replica_can_serve_use_this_keepers_share_of_the_primary() {
     let mut bench = Bench::with_slots(5);
-    for seat in &mut bench.seats {
-        seat.share = 3;
+    for member in &mut bench.members {
+        member.share = 3;
     }
     bench.set_up(Some("server-0"), 1, 12);
     // both replicas lag far behind and refuse the read
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_request_that_misses_its_objective_is_logged_and_one_in_time_is_not() {
-    let finished =
+    let logged =
         |bench: &Bench| bench.out.iter().filter(|effect| matches!(effect, Effect::Log(_))).count();
     for (wait, lines) in [(50, 0), (150, 1)] {
         let mut bench = Bench::ready();
@@ -143,6 +143,6 @@
         let (conn, ..) = bench.sent()[0].clone();
         bench.pass(wait);
         bench.answer(conn, b'I', Mark::new(1, 101));
-        assert_eq!(finished(&bench), lines, "after {wait} ms of an objective of 100");
+        assert_eq!(logged(&bench), lines, "after {wait} ms of an objective of 100");
     }
 }
