--- a/components/keeper/src/intake.rs
+++ b/components/keeper/src/admission.rs
@@ -1,4 +1,5 @@
-//! What fronts ask: requests, credit, cancels, and callers that leave.
+//! Admission of requests from fronts, flow-control credit, cancels, and callers
+//! that disconnect.
 
 use base::prelude::*;
 use wire::data::{End, Outcome, Reason, Run};
@@ -9,13 +10,14 @@
 use crate::request::{Lane, Request, Stage};
 use crate::service::Service;
 
-/// Time after which it is worth asking again when the lease is lost.
-const LEASE_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay sent to callers while the entry does not hold its lease.
+const LEASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Time after which it is worth asking again when the queue is full.
-pub(crate) const QUEUE_RETRY: Duration = Duration::from_millis(200);
+/// Retry delay sent to callers whose service has a full queue.
+pub(crate) const QUEUE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Why a request is not taken.
+/// A request that is not admitted: the reason, the transaction status and the
+/// retry delay sent to the caller.
 struct Refusal {
     reason: Reason,
     status: u8,
@@ -34,7 +36,7 @@
 
 impl Group {
     pub(crate) fn run(&mut self, now: Instant, front: Front, run: Run, out: &mut Vec<Effect>) {
-        if self.numbers.contains_key(&(front, run.request)) {
+        if self.by_number.contains_key(&(front, run.request)) {
             return;
         }
         let owner = (front, run.caller);
@@ -53,9 +55,9 @@
         };
         let number = run.request;
         let key = self.requests.insert(Request::new(now, front, service, run));
-        self.numbers.insert((front, number), key);
+        self.by_number.insert((front, number), key);
         if let Some(service) = self.services.get_mut(service) {
-            service.open += 1;
+            service.open_requests += 1;
             service.budget.deposit();
         }
         self.enqueue(now, key, pinned);
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Puts a request where it waits for its first or next try.
+    /// Queues a request for its first attempt or for a retry.
     pub(crate) fn enqueue(
         &mut self,
         now: Instant,
@@ -84,14 +86,14 @@
         }
         if request.is_read() {
             request.stage = Stage::Parked;
-            self.want_for(now, key);
+            self.request_sample_for(now, key);
             self.park_or_queue(now, key);
             return;
         }
         self.queue(key, Lane::Primary);
     }
 
-    /// Puts a request at the end of its service's flow in a lane.
+    /// Appends a request to its service's flow in a lane.
     pub(crate) fn queue(&mut self, key: Key<Request>, lane: Lane) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -107,7 +109,7 @@
     }
 
     pub(crate) fn credit(&mut self, front: Front, request: u64, bytes: u64, out: &mut Vec<Effect>) {
-        let Some(key) = self.numbers.get(&(front, request)).copied() else {
+        let Some(key) = self.by_number.get(&(front, request)).copied() else {
             return;
         };
         let Some(request) = self.requests.get_mut(key) else {
@@ -128,7 +130,7 @@
         request: u64,
         out: &mut Vec<Effect>,
     ) {
-        let Some(key) = self.numbers.get(&(front, request)).copied() else {
+        let Some(key) = self.by_number.get(&(front, request)).copied() else {
             return;
         };
         match self.requests.get(key).map(|request| request.stage) {
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Forgets one caller of a front, or all of them.
+    /// Abandons the requests and transactions of one caller of a front, or of
+    /// all its callers if `caller` is `None`.
     pub(crate) fn leave(
         &mut self,
         now: Instant,
@@ -148,15 +151,15 @@
         caller: Option<u64>,
         out: &mut Vec<Effect>,
     ) {
-        let meant = |other: Front, number: u64| {
+        let is_affected = |other: Front, number: u64| {
             other == front && caller.is_none_or(|caller| caller == number)
         };
-        let mine = self.requests.iter().filter(|(_, r)| meant(r.front, r.run.caller));
-        let mine: Vec<_> = mine.map(|(key, _)| key).collect();
-        for key in mine {
+        let affected = self.requests.iter().filter(|(_, r)| is_affected(r.front, r.run.caller));
+        let affected: Vec<_> = affected.map(|(key, _)| key).collect();
+        for key in affected {
             self.orphan(now, key, out);
         }
-        let pins = self.pins.iter().filter(|((other, number), _)| meant(*other, *number));
+        let pins = self.pins.iter().filter(|((other, number), _)| is_affected(*other, *number));
         let mut pins: Vec<_> = pins.map(|(_, conn)| *conn).collect();
         pins.sort_unstable();
         for conn in pins {
@@ -164,13 +167,14 @@
         }
     }
 
-    /// Lets a request go on without anyone to answer to.
+    /// Detaches a request from its caller. A request that was already sent
+    /// still runs to its end.
     fn orphan(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
         request.orphan = true;
-        self.numbers.remove(&(request.front, request.run.request));
+        self.by_number.remove(&(request.front, request.run.request));
         match request.stage {
             Stage::Running(_) | Stage::Marking(_) => {
                 request.attempt.held.clear();
@@ -180,7 +184,8 @@
         }
     }
 
-    /// Rolls an open transaction back whose caller has gone.
+    /// Rolls back the open transaction of a caller that has disconnected or
+    /// started a new request outside of it.
     pub(crate) fn abandon(&mut self, now: Instant, key: Key<Connection>, out: &mut Vec<Effect>) {
         self.unpin(key);
         if let Some(Work::Pinned(_)) = self.conns.get(key).map(|conn| conn.work) {
@@ -188,7 +193,8 @@
         }
     }
 
-    /// The request's service, if the request may wait here at all.
+    /// Returns the request's service if the request may be queued in this
+    /// group.
     fn admit(
         &mut self,
         run: &Run,
@@ -199,23 +205,23 @@
             return Err(refusal);
         }
         let key = self.service(&run.service).ok_or_else(|| Refusal::new(Reason::Refused))?;
-        let full = |service: &Service| service.open >= service.limits.queue;
+        let full = |service: &Service| service.open_requests >= service.limits.queue;
         if !run.within && self.services.get(key).is_none_or(full) {
-            return Err(Refusal::after(Reason::QueueFull, QUEUE_RETRY));
+            return Err(Refusal::after(Reason::QueueFull, QUEUE_RETRY_AFTER));
         }
         Ok(key)
     }
 
-    /// The service of a name; none is made that is not declared.
+    /// Returns the service of that name, creating its state if it is declared.
     fn service(&mut self, name: &str) -> Option<Key<Service>> {
-        if let Some(key) = self.names.get(name) {
+        if let Some(key) = self.services_by_name.get(name) {
             return Some(*key);
         }
         let (name, _, _) = self.declarations.limits(name)?;
         let mut service = Service::new(name.clone());
         service.update(&self.name, &self.declarations, &self.servers);
         let key = self.services.insert(service);
-        self.names.insert(name.clone(), key);
+        self.services_by_name.insert(name.clone(), key);
         Some(key)
     }
 
@@ -227,7 +233,7 @@
             return Some(Refusal::new(Reason::WrongKeeper));
         }
         if !self.leased {
-            return Some(Refusal::after(Reason::Lease, LEASE_RETRY));
+            return Some(Refusal::after(Reason::Lease, LEASE_RETRY_AFTER));
         }
         let opens = self.declarations.opens(&run.service, self.name.as_str());
         (!opens).then(|| Refusal::new(Reason::Refused))
@@ -238,15 +244,16 @@
             return Some(Refusal::new(Reason::TransactionGone));
         };
         let idle = matches!(conn.work, Work::Pinned(_));
-        let waits = pinned.is_some_and(|conn| self.is_awaited(conn));
+        let waits = pinned.is_some_and(|conn| self.has_waiting_request(conn));
         if idle && !waits {
             return None;
         }
-        // requests of one session run in turn: the front broke that
+        // a front sends the requests of one session in turn, so a second one within the
+        // transaction is an error of the front
         Some(Refusal { status: conn.status, ..Refusal::new(Reason::QueueFull) })
     }
 
-    fn is_awaited(&self, conn: Key<Connection>) -> bool {
+    fn has_waiting_request(&self, conn: Key<Connection>) -> bool {
         let server = self.conns.get(conn).and_then(|conn| self.servers.get(conn.server));
         let waits = |key: &Key<Request>| {
             self.requests.get(*key).is_some_and(|request| request.stage == Stage::Urgent(conn))
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -1,23 +1,25 @@
-//! Ends of requests, repeats, and what passes with time.
+//! Ends of requests, retries, timeouts, and the release of connections.
 
 use base::prelude::*;
 use wire::data::{End, Outcome, Part, Reason};
 
-use crate::conn::{Connection, IDLE, OPEN, Origin, Owner, Work};
+use crate::admission::QUEUE_RETRY_AFTER;
+use crate::conn::{Connection, IDLE, IN_TRANSACTION, Origin, Owner, Work};
 use crate::event::{Count, Effect, Ended};
-use crate::fault::Fault;
+use crate::flaw::Flaw;
 use crate::group::Group;
-use crate::intake::QUEUE_RETRY;
 use crate::request::{Attempt, Lane, Request, Stage};
 
-/// Time in which a rollback must be confirmed.
-const ROLLBACK: Duration = Duration::from_secs(1);
+/// Time within which a rollback must be confirmed before its connection is
+/// closed.
+const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which it is worth asking again when no server could be used.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Retry delay sent to callers when no server was usable, the deadline passed
+/// or the primary was replaced.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Group {
-    /// Ends a request. What was held back goes out only if it is done.
+    /// Ends a request. A held-back answer is sent only if the request is done.
     pub(crate) fn finish(
         &mut self,
         now: Instant,
@@ -26,8 +28,8 @@
         reason: Reason,
         out: &mut Vec<Effect>,
     ) {
-        let outcome = self.honest(key, outcome);
-        self.explain(now, key, outcome, reason, out);
+        let outcome = self.reportable_outcome(key, outcome);
+        self.log_end(now, key, outcome, reason, out);
         let end = self.end(now, key, outcome, reason);
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -47,8 +49,9 @@
         self.drain(key, out);
     }
 
-    /// Tells the log of an end that a caller may ask about.
-    fn explain(
+    /// Logs the end of a request that failed, was retried, or took longer than
+    /// its objective.
+    fn log_end(
         &self,
         now: Instant,
         key: Key<Request>,
@@ -75,18 +78,18 @@
             tries: request.tries,
             waited,
             sent: server.map(|_| now.since(attempt.sent_at)),
-            term: self.solo.as_ref().map_or(attempt.term, |solo| solo.term),
-            led: self.named.is_some(),
+            term: self.unfenced.as_ref().map_or(attempt.term, |unfenced| unfenced.term),
+            led: self.control_primary.is_some(),
             leased: self.leased,
             version: request.run.version,
             sample: self.ring.last().map(|sample| now.since(sample.taken)),
         }));
     }
 
-    /// What may be told of a request: that it was not run, or that it failed,
-    /// only where no earlier try may have run.
-    fn honest(&self, key: Key<Request>, outcome: Outcome) -> Outcome {
-        let ran = self.requests.get(key).filter(|request| request.ran);
+    /// Downgrades an outcome to `Unknown` if it says that the request was not
+    /// run or that it failed, and an earlier attempt may have run.
+    fn reportable_outcome(&self, key: Key<Request>, outcome: Outcome) -> Outcome {
+        let ran = self.requests.get(key).filter(|request| request.may_have_run);
         match outcome {
             Outcome::NotRun if ran.is_some() => Outcome::Unknown,
             Outcome::Done if ran.is_some_and(Request::is_failed) => Outcome::Unknown,
@@ -109,17 +112,17 @@
         let attempt = &request.attempt;
         let done = outcome == Outcome::Done;
         let status = if done { attempt.status } else { self.status_of(request) };
-        let seen = match (attempt.primary, &self.solo) {
-            (true, _) => attempt.hi,
-            // a read says nothing of what the session must see later
+        let seen = match (attempt.primary, &self.unfenced) {
+            (true, _) => attempt.mark_after,
+            // a read does not raise the mark that the session must see later
             (false, Some(_)) => None,
             (false, None) => attempt.mark,
         };
         let mark = if done { seen.max(request.floor) } else { None };
         let server = attempt.server.and_then(|server| self.servers.get(server));
         let retry_after = match reason {
-            Reason::Deadline | Reason::Replaced | Reason::Unavailable => RETRY_AFTER,
-            Reason::QueueFull => QUEUE_RETRY,
+            Reason::Deadline | Reason::Replaced | Reason::Unavailable => UNAVAILABLE_RETRY_AFTER,
+            Reason::QueueFull => QUEUE_RETRY_AFTER,
             _ => Duration::ZERO,
         };
         let reason = match reason {
@@ -141,14 +144,16 @@
         }
     }
 
-    /// Status byte of the caller's transaction after a request that was not done.
+    /// Transaction status byte reported to the caller of a request that is not
+    /// done.
     fn status_of(&self, request: &Request) -> u8 {
         let pinned = self.pins.get(&request.owner()).and_then(|key| self.conns.get(*key));
         let waits = matches!(request.stage, Stage::Urgent(_));
         pinned.filter(|_| waits).map_or(IDLE, |conn| conn.status)
     }
 
-    /// Sends what an ended request still holds, as far as its window goes.
+    /// Sends the held-back answer of an ended request as far as its window
+    /// allows, then its end.
     pub(crate) fn drain(&mut self, key: Key<Request>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -170,19 +175,20 @@
             return;
         };
         if let Some(service) = self.services.get_mut(request.service) {
-            service.open = service.open.saturating_sub(1);
+            service.open_requests = service.open_requests.saturating_sub(1);
         }
         if request.orphan {
             return;
         }
-        self.numbers.remove(&(request.front, request.run.request));
+        self.by_number.remove(&(request.front, request.run.request));
         if let Some(end) = request.end {
             out.push(Effect::End { front: request.front, end: End { parts, ..end } });
         }
     }
 
-    /// Lets a request be tried again, if none of its answer went out.
-    pub(crate) fn again(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) -> bool {
+    /// Schedules a retry of a request. Returns false if part of its answer was
+    /// already sent, the deadline passed, or the retry budget is spent.
+    pub(crate) fn retry(&mut self, now: Instant, key: Key<Request>, out: &mut Vec<Effect>) -> bool {
         let Some(request) = self.requests.get_mut(key) else {
             return false;
         };
@@ -197,32 +203,33 @@
         request.tries += 1;
         request.attempt = Attempt { status: IDLE, ..Attempt::default() };
         request.stage = Stage::Backoff(now + wait);
-        out.push(Effect::Count(Count::Repeat));
+        out.push(Effect::Count(Count::Retry));
         true
     }
 
-    /// Takes what time brings: deadlines, waits that are over, idle transactions.
+    /// Handles the passing of time: deadlines, backoff delays and idle
+    /// transactions.
     pub(crate) fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
         self.expire(now, out);
-        self.wake_repeats(now, out);
+        self.requeue_retries(now, out);
         self.expire_conns(now, out);
-        self.settle(now, out);
+        self.resolve(now, out);
         self.unpark(now);
-        self.relieve(now);
-        self.stalled(now, out);
-        self.watch(now, out);
+        self.spill_to_primary(now);
+        self.abort_stalled(now, out);
+        self.report_health(now, out);
     }
 
     fn expire(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let typical = self.typical;
-        let hopeless = |request: &Request| match request.stage {
+        let typical = self.typical_run_time;
+        let is_expired = |request: &Request| match request.stage {
             Stage::Draining => false,
             Stage::Running(_) | Stage::Marking(_) | Stage::Acking | Stage::Doubt => {
                 now >= request.deadline
             }
             _ => now + request.margin(typical) >= request.deadline,
         };
-        let late = self.requests.iter().filter(|(_, request)| hopeless(request));
+        let late = self.requests.iter().filter(|(_, request)| is_expired(request));
         let late: Vec<_> = late.map(|(key, request)| (key, request.stage)).collect();
         for (key, stage) in late {
             self.expire_one(now, key, stage, out);
@@ -233,27 +240,27 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let harmless = !request.may_commit();
-        let opening = stage == Stage::Acking && !request.attempt.durable;
+        let cannot_commit = !request.may_commit();
+        let unconfirmed = stage == Stage::Acking && !request.attempt.durable;
         let outcome = match stage {
-            Stage::Running(_) | Stage::Marking(_) if harmless => Outcome::NotRun,
-            Stage::Acking if opening => Outcome::NotRun,
+            Stage::Running(_) | Stage::Marking(_) if cannot_commit => Outcome::NotRun,
+            Stage::Acking if unconfirmed => Outcome::NotRun,
             Stage::Running(_) | Stage::Marking(_) | Stage::Acking | Stage::Doubt => {
                 Outcome::Unknown
             }
             _ => Outcome::NotRun,
         };
-        if opening {
+        if unconfirmed {
             self.end_transaction(now, key, out);
         }
         self.finish(now, key, outcome, Reason::Deadline, out);
         if let Stage::Running(conn) | Stage::Marking(conn) = stage {
             out.push(Effect::Cancel { conn });
-            self.shut(conn, out);
+            self.close_conn(conn, out);
         }
     }
 
-    fn wake_repeats(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn requeue_retries(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let due = self
             .requests
             .iter()
@@ -269,12 +276,12 @@
     }
 
     fn expire_conns(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let lingered = self.lingered(now);
+        let grace_over = self.is_grace_over(now);
         let keys: Vec<_> = self.conns.iter().map(|(key, conn)| (key, conn.work)).collect();
         for (key, work) in keys {
             match work {
-                Work::RollingBack(until) if until <= now => self.shut(key, out),
-                Work::Pinned(since) if lingered || now.since(since) > self.idle_limit(key) => {
+                Work::RollingBack(until) if until <= now => self.close_conn(key, out),
+                Work::Pinned(since) if grace_over || now.since(since) > self.idle_limit(key) => {
                     self.abandon(now, key, out);
                 }
                 _ => {}
@@ -294,7 +301,7 @@
         if waits { Duration::MAX } else { Duration::from_millis(limit) }
     }
 
-    /// Keeps a connection for the transaction that is open on it.
+    /// Reserves a connection for the transaction that is open on it.
     pub(crate) fn pin(
         &mut self,
         now: Instant,
@@ -322,34 +329,36 @@
         }
     }
 
-    /// Gives a connection back to all.
-    pub(crate) fn rest(&mut self, now: Instant, key: Key<Connection>) {
+    /// Makes a connection available to all requests.
+    pub(crate) fn release_conn(&mut self, now: Instant, key: Key<Connection>) {
         if let Some(conn) = self.conns.get_mut(key) {
             conn.work = Work::Idle(now);
         }
     }
 
     pub(crate) fn roll_back(&mut self, now: Instant, key: Key<Connection>, out: &mut Vec<Effect>) {
-        let early = self.breaks(Fault::EarlyReuse);
+        let early = self.has_flaw(Flaw::EarlyReuse);
         if let Some(conn) = self.conns.get_mut(key) {
-            conn.work = if early { Work::Idle(now) } else { Work::RollingBack(now + ROLLBACK) };
-            conn.status = OPEN;
+            conn.work =
+                if early { Work::Idle(now) } else { Work::RollingBack(now + ROLLBACK_TIMEOUT) };
+            conn.status = IN_TRANSACTION;
             out.push(Effect::RollBack { conn: key });
         }
         self.drop_urgent(now, key, out);
     }
 
-    /// Closes a connection; it counts until the host says that it is closed.
-    pub(crate) fn shut(&mut self, key: Key<Connection>, out: &mut Vec<Effect>) {
+    /// Closes a connection. The connection counts against the limits until the
+    /// host confirms the close.
+    pub(crate) fn close_conn(&mut self, key: Key<Connection>, out: &mut Vec<Effect>) {
         self.unpin(key);
         let Some(conn) = self.conns.get_mut(key).filter(|conn| !conn.is_closing()) else {
             return;
         };
-        conn.work = Work::Closing { runs: conn.runs() };
+        conn.work = Work::Closing { uses_slot: conn.uses_slot() };
         out.push(Effect::Close { conn: key });
     }
 
-    /// Reads on for a request whose caller takes more.
+    /// Resumes reading for a request whose caller granted credit.
     pub(crate) fn resume(&mut self, key: Key<Request>, out: &mut Vec<Effect>) {
         let stage = self.requests.get(key).map(|request| request.stage);
         if let Some(Stage::Running(conn) | Stage::Marking(conn)) = stage {
--- /dev/null
+++ b/components/keeper/src/flaw.rs
@@ -0,0 +1,18 @@
+//! Deliberate violations of a rule, with which tests show that their checks
+//! detect it.
+
+/// A rule that is violated.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumIter, strum::Display)]
+#[strum(serialize_all = "kebab-case")]
+pub enum Flaw {
+    /// Acknowledges a write that only the primary holds.
+    PrimaryAlone,
+    /// Compares positions without their terms.
+    Termless,
+    /// Resends a request whose first attempt may have run.
+    Resend,
+    /// Reuses a connection before its rollback is confirmed.
+    EarlyReuse,
+    /// Uses the position of a primary that no majority has confirmed.
+    Unverified,
+}
--- /dev/null
+++ b/components/keeper/src/unfenced/stall.rs
@@ -0,0 +1,131 @@
+//! Detection of statements that servers leave unanswered, and the resulting
+//! health of the servers.
+
+use base::prelude::*;
+use wire::control::Sight;
+use wire::data::Class;
+
+use super::Commits;
+use crate::conn::{Connection, Work};
+use crate::event::{Effect, Outage};
+use crate::group::Group;
+use crate::request::{Request, Stage};
+use crate::server::Server;
+
+/// Time without an answer after which a statement's server is considered
+/// silent.
+const STATEMENT_STALL: Duration = Duration::from_millis(450);
+
+/// Time without an answer after which a read is aborted on its replica and
+/// retried on another server.
+const READ_STALL: Duration = Duration::from_millis(400);
+
+/// Multiple of the typical run time within which a read is not aborted.
+const SLOW_READ_FACTOR: u32 = 8;
+
+/// Factor by which the limit is raised on a server that answers other
+/// statements.
+const RESPONSIVE_FACTOR: u32 = 3;
+
+/// Time for which an unanswered commit counts as a symptom of the primary.
+const COMMIT_STALL_VALIDITY: Duration = Duration::from_secs(2);
+
+/// Time without an answer to a commit, while other statements are answered,
+/// after which the primary is considered cut off from its replicas.
+const COMMIT_STALL: Duration = Duration::from_millis(500);
+
+impl Group {
+    /// Aborts statements that their servers leave unanswered, except those that
+    /// may have committed.
+    pub(crate) fn abort_stalled(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        if !self.is_unfenced() {
+            return;
+        }
+        self.record_stalled_commits(now);
+        let stalled = self.conns.iter().filter(|(_, conn)| self.is_stalled(now, conn));
+        let stalled: Vec<_> = stalled.map(|(key, conn)| (key, conn.server)).collect();
+        for (conn, server) in stalled {
+            let silent =
+                self.servers.get(server).is_some_and(|s| now.since(s.last_heard) > READ_STALL);
+            self.abort_conn(now, conn, out);
+            if silent {
+                self.mark_silent(server, out);
+            }
+        }
+    }
+
+    /// Records the servers that leave a commit unanswered.
+    fn record_stalled_commits(&mut self, now: Instant) {
+        let stalled = |request: &Request| {
+            let commits = request.class != Class::Read && request.may_commit();
+            let long = now.since(request.attempt.sent_at) > COMMIT_STALL;
+            let runs = matches!(request.stage, Stage::Running(_));
+            (runs && commits && long && request.attempt.primary).then_some(request.attempt.server)
+        };
+        let found: Vec<_> = self.requests.iter().filter_map(|(_, r)| stalled(r)?).collect();
+        for server in found {
+            if let Some(server) = self.servers.get_mut(server) {
+                server.commits.last_stalled = Some(now);
+            }
+        }
+    }
+
+    /// Marks a server as silent until a new connection to it succeeds.
+    fn mark_silent(&mut self, key: Key<Server>, out: &mut Vec<Effect>) {
+        if let Some(server) = self.servers.get_mut(key) {
+            server.outage = Some(Outage::Silent);
+        }
+        let idle = |conn: &Connection| conn.server == key && matches!(conn.work, Work::Idle(_));
+        let idle = self.conns.iter().filter(|(_, conn)| idle(conn));
+        let idle: Vec<_> = idle.map(|(key, _)| key).collect();
+        for conn in idle {
+            self.close_conn(conn, out);
+        }
+    }
+
+    fn is_stalled(&self, now: Instant, conn: &Connection) -> bool {
+        let request = match conn.work {
+            Work::Sampling(since) => return now.since(since) > READ_STALL,
+            Work::Busy(key) => self.requests.get(key),
+            _ => None,
+        };
+        let Some(request) = request else { return false };
+        if request.class != Class::Read && request.may_commit() {
+            return false;
+        }
+        let spare = !request.run.within && !request.attempt.primary;
+        let limit = if spare {
+            READ_STALL.max(self.typical_run_time * SLOW_READ_FACTOR)
+        } else {
+            STATEMENT_STALL
+        };
+        let waits = now.since(request.attempt.sent_at);
+        let heard =
+            self.servers.get(conn.server).is_some_and(|s| s.last_heard > request.attempt.sent_at);
+        waits > if heard { limit * RESPONSIVE_FACTOR } else { limit }
+    }
+
+    /// Determines the health of the primary from the statements that it runs.
+    pub(crate) fn unfenced_sight(&self, now: Instant, key: Key<Server>) -> Sight {
+        let Some(server) = self.servers.get(key) else { return Sight::Healthy };
+        match server.outage {
+            Some(Outage::Refused) => return Sight::Refused,
+            Some(Outage::Silent) => return Sight::Silent,
+            None => {}
+        }
+        let mut open = self.requests.iter().filter_map(|(_, request)| match request.stage {
+            Stage::Running(_) if request.attempt.server == Some(key) => Some(request),
+            _ => None,
+        });
+        let silent = |request: &Request| {
+            let waits = now.since(request.attempt.sent_at);
+            waits > STATEMENT_STALL && now.since(server.last_heard) > STATEMENT_STALL
+        };
+        if open.any(silent) {
+            return Sight::Silent;
+        }
+        let Commits { last_answered, last_stalled } = server.commits;
+        let lost = |at: Instant| at > last_answered && now.since(at) < COMMIT_STALL_VALIDITY;
+        if last_stalled.is_some_and(lost) { Sight::CutOff } else { Sight::Healthy }
+    }
+}
--- a/components/keeper/tests/fuzz/wire.rs
+++ b/components/keeper/tests/fuzz/link.rs
@@ -1,4 +1,5 @@
-//! Fake connections: what a server is to run, and what it has answered.
+//! Simulated connections: jobs that a server is to run, and events in transit
+//! to the group.
 
 use std::collections::VecDeque;
 
@@ -9,7 +10,7 @@
 use crate::oracle::{Oracle, Reply, Verb};
 use crate::server::Server;
 
-/// Something that a server is to do for a connection.
+/// A job that a server is to run for a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Job {
     Run { id: u64, owner: usize },
@@ -17,7 +18,7 @@
     Mark,
 }
 
-/// A transaction that is open at a server.
+/// An open transaction on a server.
 #[derive(Clone, Debug, Default)]
 pub struct Open {
     pub owner: usize,
@@ -25,29 +26,29 @@
     pub term: Term,
 }
 
-/// One connection.
+/// A simulated connection.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Link {
     pub conn: Key<Connection>,
     pub server: usize,
-    pub standing: bool,
+    pub established: bool,
     pub jobs: VecDeque<Job>,
     pub open: Option<Open>,
-    /// What is on its way to the group.
+    /// Events in transit to the group.
     pub events: VecDeque<Event>,
-    /// Cycles sent whose end the group has not seen.
+    /// Number of cycles sent whose end the group has not received.
     pub due: u32,
-    /// Whether a caller's cycle, not a rollback, is due.
+    /// Whether the outstanding cycle belongs to a caller, not to a rollback.
     pub runs: bool,
     pub paused: bool,
 }
 
-impl Wire {
+impl Link {
     pub fn new(conn: Key<Connection>, server: usize) -> Self {
         Self {
             conn,
             server,
-            standing: false,
+            established: false,
             jobs: VecDeque::new(),
             open: None,
             events: VecDeque::new(),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Runs the next job at the server.
+    /// Runs the next job on the server.
     pub fn execute(&mut self, server: &mut Server, oracle: &mut Oracle) {
         let Some(job) = self.jobs.pop_front() else {
             return;
@@ -77,8 +78,9 @@
     }
 
     fn run(&mut self, id: u64, owner: usize, server: &mut Server, oracle: &mut Oracle) {
-        let asked = oracle.asked.values().find(|asked| asked.id == id).expect("a known request");
-        let (verb, conn) = (asked.verb, self.conn);
+        let request =
+            oracle.requests.values().find(|request| request.id == id).expect("a known request");
+        let (verb, conn) = (request.verb, self.conn);
         if let Some(open) = &self.open {
             assert_eq!(open.owner, owner, "request {id} ran in another caller's transaction");
         }
--- a/components/keeper/tests/fuzz/main.rs
+++ b/components/keeper/tests/fuzz/main.rs
@@ -1,28 +1,29 @@
-//! The group under random schedules of faults, against a simple oracle.
+//! Runs a group under random schedules of faults and checks it against a simple
+//! oracle.
 //!
-//! A schedule is drawn from its seed alone. `TREFOIL_FUZZ_SCHEDULES` sets how
-//! many are run, `TREFOIL_FUZZ_FIRST` the first seed.
+//! A schedule depends only on its seed. `TREFOIL_FUZZ_SCHEDULES` sets the
+//! number of schedules, `TREFOIL_FUZZ_FIRST` the first seed.
 
+mod link;
 mod oracle;
 mod server;
-mod wire;
 mod world;
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use arbtest::arbitrary::Unstructured;
-use keeper::Fault;
+use keeper::Flaw;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use world::World;
 
-/// Schedules that are run by default.
+/// Default number of schedules.
 const SCHEDULES: u64 = 300;
 
-/// Schedules in which a broken rule must show.
-const FAULT_SCHEDULES: u64 = 2_000;
+/// Number of schedules within which each flaw must be detected.
+const FLAW_SCHEDULES: u64 = 2_000;
 
-/// Bytes that a schedule is drawn from.
+/// Number of random bytes that a schedule is drawn from.
 const BYTES: usize = 6_000;
 
 const STEPS: usize = 900;
@@ -32,16 +33,16 @@
     given.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
 }
 
-fn first() -> u64 {
+fn first_seed() -> u64 {
     let given = std::env::var("TREFOIL_FUZZ_FIRST").ok();
     given.and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-fn run(seed: u64, fault: Option<Fault>) {
+fn run(seed: u64, flaw: Option<Flaw>) {
     let mut bytes = vec![0; BYTES];
     ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut bytes);
     let mut u = Unstructured::new(&bytes);
-    let mut world = World::new(fault);
+    let mut world = World::new(flaw);
     for _ in 0..STEPS {
         if u.is_empty() || world.step(&mut u).is_err() {
             break;
@@ -52,8 +53,8 @@
 
 #[test]
 fn promises_hold_in_each_schedule() {
-    let first = first();
-    for seed in first..first + schedules() {
+    let first_seed = first_seed();
+    for seed in first_seed..first_seed + schedules() {
         if let Err(panic) = catch_unwind(|| run(seed, None)) {
             eprintln!(
                 "failing seed: {seed}; run it alone by TREFOIL_FUZZ_FIRST={seed} TREFOIL_FUZZ_SCHEDULES=1"
@@ -63,18 +64,18 @@
     }
 }
 
-fn is_found(fault: Fault) -> bool {
-    let found = (0..FAULT_SCHEDULES)
-        .find(|seed| catch_unwind(AssertUnwindSafe(|| run(*seed, Some(fault)))).is_err());
-    eprintln!("{fault} found by schedule {found:?}");
+fn is_found(flaw: Flaw) -> bool {
+    let found = (0..FLAW_SCHEDULES)
+        .find(|seed| catch_unwind(AssertUnwindSafe(|| run(*seed, Some(flaw)))).is_err());
+    eprintln!("{flaw} found by schedule {found:?}");
     found.is_some()
 }
 
 #[test]
 fn each_broken_rule_is_found() {
-    for fault in
-        [Fault::PrimaryAlone, Fault::Termless, Fault::Resend, Fault::EarlyReuse, Fault::Unverified]
+    for flaw in
+        [Flaw::PrimaryAlone, Flaw::Termless, Flaw::Resend, Flaw::EarlyReuse, Flaw::Unverified]
     {
-        assert!(is_found(fault), "{fault} was not found");
+        assert!(is_found(flaw), "{flaw} was not found");
     }
 }
--- a/components/keeper/tests/group.rs
+++ b/components/keeper/tests/group.rs
@@ -1,4 +1,4 @@
-//! Single rules of a group, one by one.
+//! Tests of the rules of a group, one rule each.
 
 use std::sync::Arc;
 
@@ -6,8 +6,7 @@
 use bytes::Bytes;
 use config::Declarations;
 use keeper::{
-    Cause, Connection, Count, Effect, Event, Front, Group, Kind, Lease, Piece, Setup, Trouble,
-    event,
+    Cause, Connection, Count, Effect, Event, Front, Group, Kind, Lease, Outage, Piece, Setup, event,
 };
 use wire::control::{Sight, Symptom};
 use wire::data::{Class, End, Outcome, Reason, Run};
@@ -48,7 +47,7 @@
     }
 }
 
-fn seat(index: u16) -> event::Server {
+fn member(index: u16) -> event::Server {
     event::Server {
         incarnation: 1,
         name: name(&format!("server-{index}")),
@@ -84,7 +83,7 @@
         let now = Instant::from_millis(1_000);
         let declared = declarations(u32::from(servers), queue);
         let mut bench = Self { group, now, out: Vec::new(), next: 0, declared };
-        bench.set_up((0..servers).map(seat).collect());
+        bench.set_up((0..servers).map(member).collect());
         bench.feed(Event::Leased(true));
         bench
     }
@@ -96,11 +95,11 @@
             servers,
             lease: Lease::Held,
             declarations: Arc::new(self.declared.clone()),
-            solo: None,
+            unfenced: None,
         }));
     }
 
-    /// A group whose servers report and whose connections are open.
+    /// A group whose servers have reported and whose connections are open.
     fn ready(servers: u16) -> Self {
         let mut bench = Self::new(servers, 100);
         bench.report_all(servers, 1);
@@ -201,7 +200,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_with_a_time_to_come_back() {
+fn a_full_queue_refuses_requests_with_a_retry_delay() {
     let mut bench = Bench::new(3, 2);
     for _ in 0..3 {
         bench.ask(Run::default());
@@ -237,7 +236,7 @@
         bench.feed(Event::Marked { conn, mark: Mark::new(1, 10) });
         bench.out.clear();
     }
-    // the one slot of the primary is taken, so the next request has to queue
+    // the only slot of the primary is taken, so the next request has to queue
     bench.ask(Run { deadline_ms: 60_000, ..Run::default() });
     bench.ask(Run::default());
     bench.pass(1);
@@ -250,7 +249,7 @@
     bench.ask(Run::default());
     let (conn, _) = bench.sent()[0];
     let next = bench.ask(Run::default());
-    // the server begins a term, so the cycle of the old one is cut
+    // the server enters a new term, so the cycle of the old term is aborted
     let mut begun = status(0, 2, 10, 2);
     begun.history = "1:0,2:10".parse().unwrap();
     bench.feed(Event::Status { status: begun, sent: bench.now });
@@ -287,7 +286,7 @@
 }
 
 #[test]
-fn a_caller_that_takes_nothing_pauses_its_connection_alone() {
+fn a_caller_that_grants_no_credit_pauses_only_its_own_connection() {
     let mut bench = Bench::ready(3);
     let request = bench.ask(Run { window: 100, ..Run::default() });
     let (conn, _) = bench.sent()[0];
@@ -299,7 +298,7 @@
 }
 
 #[test]
-fn what_was_held_back_goes_out_as_the_caller_takes_it() {
+fn a_held_back_answer_is_sent_as_the_caller_grants_credit() {
     let mut bench = Bench::ready(3);
     let request = bench.ask(Run { window: 10, ..Run::default() });
     let (conn, _) = bench.sent()[0];
@@ -323,7 +322,7 @@
 #[test]
 fn a_leaving_server_gets_nothing_new() {
     let mut bench = Bench::ready(3);
-    let mut servers: Vec<_> = (0..3).map(seat).collect();
+    let mut servers: Vec<_> = (0..3).map(member).collect();
     servers[1].leaving = true;
     bench.set_up(servers);
     bench.now += Duration::from_millis(1);
@@ -337,7 +336,7 @@
 #[test]
 fn a_replica_that_policy_keeps_from_a_service_is_not_used() {
     let mut bench = Bench::ready(3);
-    let mut servers: Vec<_> = (0..3).map(seat).collect();
+    let mut servers: Vec<_> = (0..3).map(member).collect();
     servers[0].labels.insert(name("tier"), name("main"));
     bench.declared.selectors.get_mut("all").unwrap().backends =
         [(name("tier"), name("main"))].into();
@@ -372,8 +371,8 @@
 #[test]
 fn a_symptom_is_reported_when_it_changes_and_again_while_it_lasts() {
     let mut bench = Bench::ready(3);
-    let (server, trouble) = (name("server-0"), Trouble::Refused);
-    bench.feed(Event::Unreached { server, trouble });
+    let (server, outage) = (name("server-0"), Outage::Refused);
+    bench.feed(Event::Unreachable { server, outage });
     assert_eq!(sights(&mut bench.out), [Sight::Refused]);
     bench.pass(500);
     assert!(sights(&mut bench.out).is_empty());
--- a/components/keeper/tests/solo/bench.rs
+++ b/components/keeper/tests/unfenced/bench.rs
@@ -1,4 +1,4 @@
-//! One group of a primary and two replicas, driven by hand.
+//! An unfenced group of a primary and two replicas, driven event by event.
 
 use std::sync::Arc;
 
@@ -6,7 +6,9 @@
 use bytes::Bytes;
 use config::{Database, Declarations, Limits};
 use keeper::event;
-use keeper::{Connection, Effect, Event, Front, Group, Kind, Lease, Piece, Reported, Setup, Solo};
+use keeper::{
+    Connection, Effect, Event, Front, Group, Kind, Lease, Piece, Reported, Setup, Unfenced,
+};
 use plain::Fault;
 use wire::control::Sight;
 use wire::data::{Class, End, Run};
@@ -30,7 +32,7 @@
     }
 }
 
-pub fn seat(index: u16) -> event::Server {
+pub fn member(index: u16) -> event::Server {
     event::Server {
         name: name(&format!("server-{index}")),
         incarnation: 1,
@@ -50,36 +52,36 @@
     pub now: Instant,
     pub out: Vec<Effect>,
     pub next: u64,
-    pub seats: Vec<event::Server>,
+    pub members: Vec<event::Server>,
     pub conns: Vec<(Key<Connection>, Name)>,
 }
 
-pub fn setup(seats: &[event::Server], primary: Option<&str>, term: u64, index: u64) -> Setup {
+pub fn setup(members: &[event::Server], primary: Option<&str>, term: u64, index: u64) -> Setup {
     Setup {
         declared: 1,
         primary: primary.map(name),
-        servers: seats.to_vec(),
+        servers: members.to_vec(),
         lease: Lease::Held,
         declarations: Arc::new(declarations()),
-        solo: Some(Solo { term: Term(term), index }),
+        unfenced: Some(Unfenced { term: Term(term), index }),
     }
 }
 
 impl Bench {
-    /// A group of a primary and two replicas that holds its lease; nothing is
-    /// connected yet.
+    /// A group of a primary and two replicas that holds its lease. No
+    /// connection is open yet.
     pub fn new() -> Self {
         let group = Group::new(name("group"), name("zone"), 1);
         let now = Instant::from_millis(10_000);
-        let seats: Vec<_> = (0..3).map(seat).collect();
+        let members: Vec<_> = (0..3).map(member).collect();
         let (out, conns) = (Vec::new(), Vec::new());
-        let mut bench = Self { group, now, out, next: 0, seats, conns };
+        let mut bench = Self { group, now, out, next: 0, members, conns };
         bench.feed(Event::Leased(true));
         bench.set_up(Some("server-0"), 1, 10);
         bench
     }
 
-    /// The same with its first connections open.
+    /// A group whose first connections are open.
     pub fn ready() -> Self {
         let mut bench = Self::new();
         bench.open_all();
@@ -99,15 +101,16 @@
     }
 
     pub fn set_up(&mut self, primary: Option<&str>, term: u64, index: u64) {
-        let setup = setup(&self.seats, primary, term, index);
+        let setup = setup(&self.members, primary, term, index);
         self.feed(Event::Setup(setup));
     }
 
-    /// The same with more slots on each server.
+    /// A group with open connections and the given number of slots on each
+    /// server.
     pub fn with_slots(slots: u32) -> Self {
         let mut bench = Self::new();
-        for seat in &mut bench.seats {
-            (seat.slots, seat.share, seat.connections) = (slots, slots, slots + 4);
+        for member in &mut bench.members {
+            (member.slots, member.share, member.connections) = (slots, slots, slots + 4);
         }
         bench.set_up(Some("server-0"), 1, 11);
         for _ in 0..3 {
@@ -133,7 +136,7 @@
         self.feed(Event::Reported { conn, reported });
     }
 
-    /// The whole answer to a statement.
+    /// Feeds the complete answer to a statement.
     pub fn answer(&mut self, conn: Key<Connection>, status: u8, mark: Mark) {
         let piece = Piece { bytes: Bytes::from_static(b"rows"), kind: Kind::Complete };
         self.feed(Event::Piece { conn, piece });
@@ -163,7 +166,7 @@
         self.next
     }
 
-    /// Opens a transaction on the primary; its connection.
+    /// Opens a transaction on the primary and returns its connection.
     pub fn begin(&mut self) -> Key<Connection> {
         self.run(transaction(false, false));
         let (conn, ..) = self.sent()[0].clone();
@@ -171,9 +174,9 @@
         conn
     }
 
-    /// Has control replace the primary, which leaves.
+    /// Makes control replace the primary, which is leaving the group.
     pub fn replace_leaving(&mut self) {
-        self.seats[0].leaving = true;
+        self.members[0].leaving = true;
         self.set_up(Some("server-0"), 1, 11);
         self.set_up(None, 2, 20);
         self.out.clear();
@@ -189,7 +192,8 @@
         self.run(Run { class: Class::Read as i32, age_ms, fresh, floor, ..Run::default() })
     }
 
-    /// What was sent: where, which request, and what the server must show first.
+    /// Drains the effects; returns the sent requests, each with its connection,
+    /// server, number and the mark that the server must show first.
     pub fn sent(&mut self) -> Vec<(Key<Connection>, String, u64, Option<Mark>)> {
         let conns = &self.conns;
         let server = |conn| conns.iter().find(|(known, _)| *known == conn).unwrap().1.to_string();
@@ -211,7 +215,7 @@
         ends.collect()
     }
 
-    /// What was reported of the primary; the effects stay.
+    /// The symptoms of the primary that were reported. Keeps the effects.
     pub fn sights(&self) -> Vec<Sight> {
         let sights = self.out.iter().filter_map(|effect| match effect {
             Effect::Report(symptom) => Some(symptom.sight()),
@@ -229,7 +233,7 @@
     }
 }
 
-/// A statement of one caller's transaction.
+/// A statement in the transaction of one fixed caller.
 pub fn transaction(within: bool, commits: bool) -> Run {
     Run { class: Class::Write as i32, fresh: true, caller: 77, within, commits, ..Run::default() }
 }
--- a/components/keeper/tests/solo/reach.rs
+++ b/components/keeper/tests/unfenced/reach.rs
@@ -1,19 +1,19 @@
-//! Servers that can't be reached or leave statements without an answer.
+//! Servers that can't be reached or leave statements unanswered.
 
 use base::prelude::*;
-use keeper::{Event, Trouble};
+use keeper::{Event, Outage};
 use wire::control::Sight;
 use wire::data::{Class, Run};
 
 use crate::bench::{Bench, name};
 
 #[test]
-fn a_read_whose_replica_broke_is_sent_to_another_server() {
+fn a_read_whose_replica_failed_is_sent_to_another_server() {
     let mut bench = Bench::ready();
     let request = bench.read(1_000, None);
     let (conn, server, ..) = bench.sent()[0].clone();
-    let trouble = Trouble::Refused;
-    bench.feed(Event::Unreached { server: name(&server), trouble });
+    let outage = Outage::Refused;
+    bench.feed(Event::Unreachable { server: name(&server), outage });
     bench.feed(Event::Closed { conn });
     bench.pass(100);
     let sent = bench.sent();
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn commits_without_an_answer_beside_others_with_one_tell_of_lost_replicas() {
+fn commits_left_unanswered_while_reads_are_answered_report_the_primary_as_cut_off() {
     let mut bench = Bench::ready();
-    // its deadline passes soon; what it showed of the primary must be told before
+    // the deadline of the commit passes soon; the symptom must be reported before
     let (class, fresh) = (Class::Write as i32, true);
     bench.run(Run { class, fresh, commits: true, deadline_ms: 800, ..Run::default() });
     bench.sent();
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn a_server_to_which_one_connection_failed_late_is_tried_again_though_others_stand() {
+fn a_server_is_tried_again_after_a_late_connection_failure_although_other_connections_are_open() {
     let mut bench = Bench::ready();
     let before = bench.conns.len();
-    // the last attempt of a cut fails after another one has opened
+    // the last connection attempt of a network failure fails after a later one has succeeded
     for server in ["server-1", "server-2"] {
-        bench.feed(Event::Unreached { server: name(server), trouble: Trouble::Silent });
+        bench.feed(Event::Unreachable { server: name(server), outage: Outage::Silent });
     }
     bench.pass(50);
     let opened = bench.conns[before..].to_vec();
@@ -80,7 +80,7 @@
     let mut bench = Bench::ready();
     let before = bench.conns.len();
     let mut tries = 0;
-    bench.feed(Event::Unreached { server: name("server-1"), trouble: Trouble::Silent });
+    bench.feed(Event::Unreachable { server: name("server-1"), outage: Outage::Silent });
     for _ in 0..300 {
         bench.pass(10);
         let opening = bench.conns.split_off(before);
@@ -88,7 +88,7 @@
         assert!(opening.len() <= 1, "{opening:?}");
         tries += opening.len();
         for (conn, server) in opening {
-            bench.feed(Event::Unreached { server, trouble: Trouble::Silent });
+            bench.feed(Event::Unreachable { server, outage: Outage::Silent });
             bench.feed(Event::Closed { conn });
         }
     }
