--- a/components/control/src/failover/takeover.rs
+++ b/components/control/src/failover/takeover.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Whether the log contains a later term than this failover's; ends the failover if so.
+    /// Whether the group's term in the log is no longer this failover's; ends the
+    /// failover if so.
     pub(super) fn is_over(&mut self, context: &Context<'_>, term: Term) -> bool {
         let over = context.group.term != term;
         if over {
--- a/components/control/src/flaw.rs
+++ b/components/control/src/flaw.rs
@@ -1,4 +1,4 @@
-//! Deliberate flaws that the fuzz tests must find.
+//! Deliberate flaws that the tests must detect.
 
 /// A safety rule that a leader breaks; for tests only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display)]
--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -120,7 +120,7 @@
         entry: Name,
         /// Incarnation of the entry.
         incarnation: u64,
-        /// Highest mark that the keeper has acknowledged, with the term.
+        /// Intended term, and the highest mark that the keeper has acknowledged.
         seal: Seal,
     },
     /// A probe has ended; each [`Effect::Probe`] leads to exactly one such event.
--- a/components/control/src/planner.rs
+++ b/components/control/src/planner.rs
@@ -5,7 +5,7 @@
 //!
 //! - A lease that an entry must lose is first marked as returning. Its shares
 //!   are granted again only after the entry reported that it released them, in
-//!   a heartbeat sent after it had applied the mark, or was removed.
+//!   a heartbeat sent after it had applied the mark, or after it was removed.
 //! - A share grows only while every holder has applied the last reduction of
 //!   its lease, so that none still relies on an earlier, larger share, and while
 //!   no lease of a removed entry may still be in force.
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -78,11 +78,11 @@
         self.failed.is_none_or(|(_, at)| now.since(at) >= wait)
     }
 
-    /// Whether the newest report shows the server in `term`, with at most `lost`
-    /// since it heard of the primary.
-    pub fn is_healthy(&self, term: Term, lost: Duration) -> bool {
+    /// Whether the newest report shows the server in `term`, and with at most
+    /// `silence_limit` since the primary's last heartbeat.
+    pub fn is_healthy(&self, term: Term, silence_limit: Duration) -> bool {
         let well = |status: &Status| {
-            status.term == term && status.log_term == term && status.silence <= lost
+            status.term == term && status.log_term == term && status.silence <= silence_limit
         };
         self.failures == 0 && self.status.as_ref().is_some_and(well)
     }
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Whether the server left a probe without an answer for [`SILENCE_TIMEOUT`].
+    /// Whether no report has arrived for [`SILENCE_TIMEOUT`], and a status probe has
+    /// been in flight for that time or the last one timed out.
     pub fn is_silent(&self, now: Instant) -> bool {
         let waits = self.asked.is_some_and(|asked| now.since(asked) >= SILENCE_TIMEOUT);
         let failed = matches!(self.failed, Some((ProbeError::Silent, _)));
