--- a/components/entry/src/front/admit.rs
+++ b/components/entry/src/front/admit.rs
@@ -24,7 +24,7 @@
 }
 
 /// Whether a service may use a group, and why not.
-pub fn opens(state: &State, service: &str, group: &str) -> Result<(), Problem> {
+pub fn check_access(state: &State, service: &str, group: &str) -> Result<(), Problem> {
     let declarations = &state.declarations;
     if !declarations.services.contains_key(service) {
         let message = format!("service `{service}` is not declared");
@@ -51,7 +51,7 @@
     group: &str,
     texts: impl Iterator<Item = (&'a str, &'a Scan)>,
 ) -> Result<Admission, Problem> {
-    opens(state, service, group)?;
+    check_access(state, service, group)?;
     let mut rules = texts.map(|(text, scan)| rule(state, service, group, text, scan));
     let first = rules.next().unwrap_or(Rule::UNDECLARED);
     let rule = if rules.all(|rule| rule == first) { first } else { Rule::UNDECLARED };
@@ -71,7 +71,7 @@
 }
 
 /// The class as a keeper is told.
-pub fn class(class: Class) -> wire::data::Class {
+pub fn wire_class(class: Class) -> wire::data::Class {
     match class {
         Class::Write => wire::data::Class::Write,
         Class::Idempotent => wire::data::Class::Idempotent,
--- a/components/entry/src/front/verdict.rs
+++ b/components/entry/src/front/attempt.rs
@@ -20,40 +20,40 @@
         /// How.
         end: End,
         /// Whether a part of the answer was passed on.
-        passed: bool,
+        forwarded: bool,
         /// Number of own answers that were passed on.
-        own: usize,
+        own_answers: usize,
     },
     /// It never reached the keeper.
-    NotLeft,
+    NotSent,
     /// The link or the answer broke, or it took too long.
     Broken {
         /// Whether a part of the answer was passed on.
-        passed: bool,
+        forwarded: bool,
         /// Number of own answers that were passed on.
-        own: usize,
+        own_answers: usize,
     },
 }
 
 impl Attempt {
     /// What stands when no keeper ran it.
-    pub fn last(end: End) -> Self {
-        Self::Ended { end, passed: false, own: 0 }
+    pub fn ended(end: End) -> Self {
+        Self::Ended { end, forwarded: false, own_answers: 0 }
     }
 
     /// Why it ended as it did.
     pub fn reason(&self) -> Reason {
         match self {
             Self::Ended { end, .. } => end.reason(),
-            Self::NotLeft | Self::Broken { .. } => Reason::Broken,
+            Self::NotSent | Self::Broken { .. } => Reason::Broken,
         }
     }
 
     /// Number of own answers that were passed on.
-    pub fn own(&self) -> usize {
+    pub fn own_answers(&self) -> usize {
         match self {
-            Self::Ended { own, .. } | Self::Broken { own, .. } => *own,
-            Self::NotLeft => 0,
+            Self::Ended { own_answers, .. } | Self::Broken { own_answers, .. } => *own_answers,
+            Self::NotSent => 0,
         }
     }
 }
@@ -64,15 +64,15 @@
 }
 
 /// What stands of two ends: one that may have run is not told to be not run.
-pub fn worse(last: End, next: End) -> End {
+pub fn combine(last: End, next: End) -> End {
     if last.outcome() == Outcome::Unknown { last } else { next }
 }
 
 /// What stands of an attempt after others that were passed on.
-pub fn stands(last: End, attempt: Attempt) -> Attempt {
+pub fn with_earlier(last: End, attempt: Attempt) -> Attempt {
     match attempt {
-        Attempt::Ended { end, passed: false, .. } if end.outcome() == Outcome::NotRun => {
-            Attempt::last(worse(last, end))
+        Attempt::Ended { end, forwarded: false, .. } if end.outcome() == Outcome::NotRun => {
+            Attempt::ended(combine(last, end))
         }
         attempt => attempt,
     }
@@ -83,11 +83,11 @@
 ///
 /// It may when the request is proved not to have run, or is declared to read
 /// only, and the caller has seen nothing of an answer.
-pub fn passes_on(attempt: &Attempt, class: Class) -> Option<End> {
+pub fn retryable_end(attempt: &Attempt, class: Class) -> Option<End> {
     match attempt {
-        Attempt::NotLeft => Some(not_run(Reason::Unavailable)),
-        Attempt::Ended { end, passed: false, .. } if is_movable(end) => Some(end.clone()),
-        Attempt::Broken { passed: false, .. } if class == Class::Read => {
+        Attempt::NotSent => Some(not_run(Reason::Unavailable)),
+        Attempt::Ended { end, forwarded: false, .. } if is_movable(end) => Some(end.clone()),
+        Attempt::Broken { forwarded: false, .. } if class == Class::Read => {
             let (outcome, reason) = (Outcome::Unknown as i32, Reason::Broken as i32);
             Some(End { outcome, reason, ..End::default() })
         }
@@ -117,7 +117,7 @@
     match attempt {
         Attempt::Ended { end, .. } if end.outcome() == Outcome::Done => None,
         Attempt::Ended { end, .. } => Some(explain(end)),
-        Attempt::NotLeft => Some(rolled_back()),
+        Attempt::NotSent => Some(rolled_back()),
         Attempt::Broken { .. } if within && !commits => Some(rolled_back()),
         Attempt::Broken { .. } => {
             Some(Problem::new(Code::Unknown, "the keeper was lost; the outcome is unknown"))
@@ -126,10 +126,10 @@
 }
 
 /// Whether the keeper may hold something of the session still.
-pub fn holds(attempt: &Attempt, within: bool) -> bool {
+pub fn is_session_held(attempt: &Attempt, within: bool) -> bool {
     match attempt {
         Attempt::Ended { end, .. } => within || end.outcome() != Outcome::NotRun,
-        Attempt::NotLeft => within,
+        Attempt::NotSent => within,
         Attempt::Broken { .. } => true,
     }
 }
--- a/components/entry/src/front/caller.rs
+++ b/components/entry/src/front/caller.rs
@@ -13,10 +13,10 @@
 use tokio::sync::watch;
 
 use super::admit::{self, Admission};
-use super::conn::{Conn, Gone};
+use super::conn::{Conn, Disconnect};
 use super::run::Work;
 use super::session::{Session, Transaction};
-use super::{Front, Phase, stays};
+use super::{Front, Phase, wait_for_input};
 
 /// What is left to do of messages that the front has looked at.
 #[derive(Debug)]
@@ -52,19 +52,19 @@
             debug!(self.front.log, "a caller is gone"; "reason" => %report.current_context());
         }
         if let Transaction::Open { link, .. } = std::mem::take(&mut self.session.transaction) {
-            self.leave(&link).await;
+            self.release_session(&link).await;
         }
         self.conn.close().await;
     }
 
-    async fn steps(&mut self) -> Result<(), Report<Gone>> {
+    async fn steps(&mut self) -> Result<(), Report<Disconnect>> {
         while let Some(frame) = self.frame().await? {
             match self.protocol.on(&frame) {
                 Step::Wait => {}
                 // boxed, so that the task of an idle caller stays small
                 Step::Run(cycle) => {
                     Box::pin(self.cycle(cycle)).await?;
-                    self.ready();
+                    self.write_ready();
                 }
                 Step::Flush(messages) => {
                     if Box::pin(self.part(messages)).await? {
@@ -74,13 +74,13 @@
                 Step::Refuse(problem) => self.fail(&problem).await,
                 Step::Reject(problem) => {
                     self.fail(&problem).await;
-                    self.ready();
+                    self.write_ready();
                 }
-                Step::Recover => self.ready(),
+                Step::Recover => self.write_ready(),
                 Step::Terminate => return Ok(()),
                 Step::Break(problem) => {
                     self.conn.output.fatal(&problem);
-                    return Err(Report::new(Gone::Protocol));
+                    return Err(Report::new(Disconnect::Protocol));
                 }
             }
         }
@@ -94,7 +94,7 @@
 
     /// The next message, or `None` when the process stops and the caller
     /// stands between two requests.
-    async fn frame(&mut self) -> Result<Option<Frame>, Report<Gone>> {
+    async fn frame(&mut self) -> Result<Option<Frame>, Report<Disconnect>> {
         loop {
             match pg::frame::take(&mut self.conn.input) {
                 Ok(Some(frame)) => return Ok(Some(frame)),
@@ -102,7 +102,7 @@
                 Err(report) => {
                     let message = report.current_context().to_string();
                     self.conn.output.fatal(&Problem::new(Code::Protocol, message));
-                    return Err(report.change_context(Gone::Protocol));
+                    return Err(report.change_context(Disconnect::Protocol));
                 }
             }
             self.conn.flush().await?;
@@ -110,7 +110,7 @@
                 self.conn.fill().await?;
                 continue;
             }
-            if !stays(&mut self.phase, self.conn.fill()).await? {
+            if !wait_for_input(&mut self.phase, self.conn.fill()).await? {
                 return Ok(None);
             }
         }
@@ -122,7 +122,7 @@
     }
 
     /// Answers a cycle but for its end; whether that was an error.
-    async fn cycle(&mut self, cycle: Cycle) -> Result<bool, Report<Gone>> {
+    async fn cycle(&mut self, cycle: Cycle) -> Result<bool, Report<Disconnect>> {
         self.session.cycles += 1;
         let rest = match cycle {
             Cycle::Query { text, bytes } => self.query(&text, bytes),
@@ -145,7 +145,7 @@
 
     /// Answers a part of a cycle, if that can be told from the rest of it;
     /// whether that was an error.
-    async fn part(&mut self, messages: Vec<Message>) -> Result<bool, Report<Gone>> {
+    async fn part(&mut self, messages: Vec<Message>) -> Result<bool, Report<Disconnect>> {
         let survey = self.session.prepared.survey(&messages);
         if survey.is_separable(!matches!(self.session.transaction, Transaction::None)) {
             return self.cycle(Cycle::Extended(messages)).await;
@@ -157,11 +157,11 @@
     /// Answers a text, or tells what is to be run of it.
     fn query(&mut self, text: &str, payload: bytes::Bytes) -> Result<Rest, Problem> {
         let scan = Scan::new(text);
-        if matches!(self.session.transaction, Transaction::Lost) {
+        if matches!(self.session.transaction, Transaction::RolledBack) {
             if !scan.ends() {
                 return Err(failed_transaction());
             }
-            self.end_lost();
+            self.end_rolled_back();
             return Ok(Rest::Answered);
         }
         if scan.statements.is_empty() {
@@ -188,7 +188,7 @@
         }
         let survey = self.session.prepared.survey(&messages);
         let scans = || survey.statements.iter().map(|statement| &statement.scan);
-        if matches!(self.session.transaction, Transaction::Lost) {
+        if matches!(self.session.transaction, Transaction::RolledBack) {
             if survey.statements.is_empty() || !scans().all(Scan::ends) {
                 return Err(failed_transaction());
             }
@@ -253,15 +253,15 @@
         match std::mem::take(&mut self.session.transaction) {
             Transaction::None => {}
             Transaction::Open { link, .. } => {
-                self.leave(&link).await;
-                self.session.transaction = Transaction::Lost;
+                self.release_session(&link).await;
+                self.session.transaction = Transaction::RolledBack;
             }
-            Transaction::Lost => self.session.transaction = Transaction::Lost,
+            Transaction::RolledBack => self.session.transaction = Transaction::RolledBack,
         }
     }
 
     /// Ends the answer to a cycle.
-    pub(super) fn ready(&mut self) {
+    pub(super) fn write_ready(&mut self) {
         self.conn.output.ready(self.session.transaction.status());
     }
 }
--- a/components/entry/src/front/cancels.rs
+++ b/components/entry/src/front/cancels.rs
@@ -73,7 +73,7 @@
 
 impl Session {
     /// Notes what it runs; returns what it ran before.
-    pub fn set(&self, running: Option<(Arc<Link>, u64)>) -> Option<(Arc<Link>, u64)> {
+    pub fn set_running(&self, running: Option<(Arc<Link>, u64)>) -> Option<(Arc<Link>, u64)> {
         let mut now = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut now, running)
     }
--- a/components/entry/src/front/choose.rs
+++ b/components/entry/src/front/choose.rs
@@ -18,7 +18,7 @@
 
 /// Keepers of a group that may take new work, the best first: the own entry,
 /// then one in the own zone, then by a hash that spreads callers evenly.
-pub fn keepers(
+pub fn rank_keepers(
     state: &State,
     group: &str,
     own: &Name,
--- a/components/entry/src/front/conn.rs
+++ b/components/entry/src/front/conn.rs
@@ -25,7 +25,7 @@
 
 /// Why a caller is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
-pub enum Gone {
+pub enum Disconnect {
     /// It closed the connection.
     Closed,
     /// Reading or writing failed.
@@ -38,7 +38,7 @@
     Refused,
 }
 
-impl std::error::Error for Gone {}
+impl std::error::Error for Disconnect {}
 
 /// A connection of either kind.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send + Sync {}
@@ -74,16 +74,16 @@
     /// Reads what has come. Safe to drop while it waits.
     ///
     /// # Errors
-    /// [`Gone::Closed`] or [`Gone::Io`].
-    pub async fn fill(&mut self) -> Result<(), Report<Gone>> {
+    /// [`Disconnect::Closed`] or [`Disconnect::Io`].
+    pub async fn fill(&mut self) -> Result<(), Report<Disconnect>> {
         if self.input.is_empty() {
             // an idle caller keeps no large buffer
             self.input = BytesMut::with_capacity(IDLE_BYTES);
         } else {
             self.input.reserve(BUSY_BYTES);
         }
-        match self.io.read_buf(&mut self.input).await.change_context(Gone::Io)? {
-            0 => Err(Report::new(Gone::Closed)),
+        match self.io.read_buf(&mut self.input).await.change_context(Disconnect::Io)? {
+            0 => Err(Report::new(Disconnect::Closed)),
             _ => Ok(()),
         }
     }
@@ -91,10 +91,12 @@
     /// The next message; reads until one is whole.
     ///
     /// # Errors
-    /// As [`Conn::fill`], and [`Gone::Protocol`].
-    pub async fn next(&mut self) -> Result<Frame, Report<Gone>> {
+    /// As [`Conn::fill`], and [`Disconnect::Protocol`].
+    pub async fn next(&mut self) -> Result<Frame, Report<Disconnect>> {
         loop {
-            if let Some(frame) = frame::take(&mut self.input).change_context(Gone::Protocol)? {
+            if let Some(frame) =
+                frame::take(&mut self.input).change_context(Disconnect::Protocol)?
+            {
                 return Ok(frame);
             }
             self.fill().await?;
@@ -104,8 +106,8 @@
     /// Sends all that waits.
     ///
     /// # Errors
-    /// [`Gone::Io`] or [`Gone::Timeout`].
-    pub async fn flush(&mut self) -> Result<(), Report<Gone>> {
+    /// [`Disconnect::Io`] or [`Disconnect::Timeout`].
+    pub async fn flush(&mut self) -> Result<(), Report<Disconnect>> {
         if self.output.is_empty() {
             return Ok(());
         }
@@ -117,13 +119,13 @@
     ///
     /// # Errors
     /// As [`Conn::flush`].
-    pub async fn write(&mut self, bytes: &[u8]) -> Result<(), Report<Gone>> {
+    pub async fn write(&mut self, bytes: &[u8]) -> Result<(), Report<Disconnect>> {
         let write = async {
             self.io.write_all(bytes).await?;
             self.io.flush().await
         };
         let written = tokio::time::timeout(WRITE_TIMEOUT, write).await;
-        written.change_context(Gone::Timeout)?.change_context(Gone::Io)
+        written.change_context(Disconnect::Timeout)?.change_context(Disconnect::Io)
     }
 
     /// Sends what waits and closes.
--- a/components/entry/src/front/errand.rs
+++ b/components/entry/src/front/dispatch.rs
@@ -13,10 +13,10 @@
 use wire::data::{Reason, Run};
 
 use super::Front;
+use super::attempt::{self, Attempt};
 use super::choose::{self, Keeper};
-use super::conn::Gone;
+use super::conn::Disconnect;
 use super::link::{Event, Link, Request};
-use super::verdict::{self, Attempt};
 
 /// Shortest wait before the keepers are asked again.
 const PAUSE_LEAST: Duration = Duration::from_millis(10);
@@ -46,17 +46,17 @@
 
     /// Takes a part; whether anything of it was passed on, or `None` when the
     /// answer is out of order.
-    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Gone>>;
+    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Disconnect>>;
 
     /// Passes on all that waits.
-    async fn flush(&mut self) -> Result<(), Report<Gone>>;
+    async fn flush(&mut self) -> Result<(), Report<Disconnect>>;
 
     /// Number of own answers that were passed on.
-    fn own(&self) -> usize;
+    fn own_answers(&self) -> usize;
 }
 
 /// One request.
-pub(super) struct Errand<'a, S> {
+pub(super) struct Dispatch<'a, S> {
     pub(super) front: &'a Front,
     /// Number of the session towards keepers; another one after a keeper was
     /// lost, so that nothing of it is taken up again.
@@ -66,17 +66,19 @@
     /// Time that it may take in all.
     pub(super) deadline: Duration,
     /// Time for which the keepers are asked again.
-    pub(super) patience: Duration,
+    pub(super) retry_window: Duration,
     /// The request; its number and deadline are set for each attempt.
     pub(super) run: Run,
     pub(super) sink: S,
 }
 
-impl<S: Sink> Errand<'_, S> {
+impl<S: Sink> Dispatch<'_, S> {
     /// Tries the keepers of the group until one runs it.
-    pub(super) async fn search(&mut self) -> Result<(Attempt, Option<Arc<Link>>), Report<Gone>> {
-        let until = self.started + self.patience.min(self.deadline);
-        let mut last = verdict::not_run(Reason::Unavailable);
+    pub(super) async fn try_keepers(
+        &mut self,
+    ) -> Result<(Attempt, Option<Arc<Link>>), Report<Disconnect>> {
+        let until = self.started + self.retry_window.min(self.deadline);
+        let mut last = attempt::not_run(Reason::Unavailable);
         let mut changes = self.front.view.changes();
         loop {
             let now = self.front.clock.now();
@@ -85,28 +87,28 @@
                     self.front.view.extended(LEASE_STEP).await;
                     continue;
                 }
-                let lease = verdict::not_run(Reason::Lease);
-                return Ok((Attempt::last(verdict::worse(last, lease)), None));
+                let lease = attempt::not_run(Reason::Lease);
+                return Ok((Attempt::ended(attempt::combine(last, lease)), None));
             }
             let keepers = self.keepers();
             if keepers.is_empty() {
-                last = verdict::worse(last, verdict::not_run(Reason::WrongKeeper));
+                last = attempt::combine(last, attempt::not_run(Reason::WrongKeeper));
             }
             for keeper in keepers {
                 let Ok(link) = self.front.keepers.link(&keeper).await else {
                     continue;
                 };
                 let attempt = self.attempt(&link).await?;
-                match verdict::passes_on(&attempt, self.class) {
-                    Some(end) => last = verdict::worse(last, end),
-                    None => return Ok((verdict::stands(last, attempt), Some(link))),
+                match attempt::retryable_end(&attempt, self.class) {
+                    Some(end) => last = attempt::combine(last, end),
+                    None => return Ok((attempt::with_earlier(last, attempt), Some(link))),
                 }
                 if matches!(attempt, Attempt::Broken { .. }) {
-                    *self.number = self.front.number();
+                    *self.number = self.front.next_session_number();
                 }
             }
             if self.front.clock.now() >= until {
-                return Ok((Attempt::last(last), None));
+                return Ok((Attempt::ended(last), None));
             }
             let pause = PAUSE_LEAST + PAUSE_SPREAD.mul_f64(rand::random());
             drop(tokio::time::timeout(pause, changes.changed()).await);
@@ -117,46 +119,56 @@
     fn keepers(&self) -> SmallVec<[Keeper; 2]> {
         let front = self.front;
         let mut keepers = front.view.read(|state| {
-            choose::keepers(state, &self.run.group, &front.name, &front.zone, *self.number)
+            choose::rank_keepers(state, &self.run.group, &front.name, &front.zone, *self.number)
         });
         let now = front.clock.now();
         keepers.sort_by_key(|keeper| {
-            (front.keepers.is_silent(keeper, now), front.keepers.is_closing(keeper))
+            (front.keepers.is_unresponsive(keeper, now), front.keepers.is_closing(keeper))
         });
         keepers
     }
 
     /// Asks one keeper and passes its answer on.
-    pub(super) async fn attempt(&mut self, link: &Arc<Link>) -> Result<Attempt, Report<Gone>> {
+    pub(super) async fn attempt(
+        &mut self,
+        link: &Arc<Link>,
+    ) -> Result<Attempt, Report<Disconnect>> {
         let now = self.front.clock.now();
         let left = self.deadline.saturating_sub(now.since(self.started));
         let run = Run { caller: *self.number, deadline_ms: millis(left), ..self.run.clone() };
         let Ok(mut request) = link.run(run).await else {
-            return Ok(Attempt::NotLeft);
+            return Ok(Attempt::NotSent);
         };
         self.sink.start(link, request.number);
-        let (mut passed, mut owed) = (false, 0);
+        let (mut forwarded, mut owed) = (false, 0);
         loop {
             let Some(event) = self.event(link, &mut request, left + GRACE).await? else {
-                return Ok(Attempt::Broken { passed, own: self.sink.own() });
+                return Ok(Attempt::Broken { forwarded, own_answers: self.sink.own_answers() });
             };
             match event {
                 Event::Part(part) => {
                     let Some(more) = self.sink.feed(&part).await? else {
-                        return Ok(Attempt::Broken { passed, own: self.sink.own() });
+                        return Ok(Attempt::Broken {
+                            forwarded,
+                            own_answers: self.sink.own_answers(),
+                        });
                     };
-                    passed |= more;
+                    forwarded |= more;
                     owed += part.len() as u64;
                     if owed >= CREDIT_BYTES {
                         request.credit(std::mem::take(&mut owed)).await;
                     }
                 }
                 Event::End(end) => {
-                    return Ok(Attempt::Ended { end, passed, own: self.sink.own() });
+                    return Ok(Attempt::Ended {
+                        end,
+                        forwarded,
+                        own_answers: self.sink.own_answers(),
+                    });
                 }
-                Event::Broken { left: false } => return Ok(Attempt::NotLeft),
-                Event::Broken { left: true } => {
-                    return Ok(Attempt::Broken { passed, own: self.sink.own() });
+                Event::Broken { sent: false } => return Ok(Attempt::NotSent),
+                Event::Broken { sent: true } => {
+                    return Ok(Attempt::Broken { forwarded, own_answers: self.sink.own_answers() });
                 }
             }
         }
@@ -169,8 +181,8 @@
         link: &Link,
         request: &mut Request,
         limit: Duration,
-    ) -> Result<Option<Event>, Report<Gone>> {
-        if let Some(event) = request.ready() {
+    ) -> Result<Option<Event>, Report<Disconnect>> {
+        if let Some(event) = request.try_next() {
             return Ok(Some(event));
         }
         self.sink.flush().await?;
@@ -183,7 +195,7 @@
                 return Ok(Some(event));
             }
             let now = self.front.clock.now();
-            if now >= until || (movable && link.is_silent(now)) {
+            if now >= until || (movable && link.is_unresponsive(now)) {
                 return Ok(None);
             }
             link.ping(now).await;
--- a/components/entry/src/front/keepers.rs
+++ b/components/entry/src/front/keepers.rs
@@ -13,7 +13,7 @@
 use wire::data::{Farewell, ask};
 
 use super::choose::Keeper;
-use super::link::{Link, NotLeft};
+use super::link::{Link, NotSent};
 
 /// Shortest time between two attempts to dial one keeper.
 const BACKOFF_LEAST: Duration = Duration::from_millis(20);
@@ -70,8 +70,8 @@
     /// The link to a keeper, dialled if there is none.
     ///
     /// # Errors
-    /// [`NotLeft`] when it can't be dialled, or was tried just now.
-    pub async fn link(&self, keeper: &Keeper) -> Result<Arc<Link>, Report<NotLeft>> {
+    /// [`NotSent`] when it can't be dialled, or was tried just now.
+    pub async fn link(&self, keeper: &Keeper) -> Result<Arc<Link>, Report<NotSent>> {
         let slot = Arc::clone(self.slots().entry(keeper.address).or_default());
         if let Some(link) = slot.live() {
             return Ok(link);
@@ -81,7 +81,7 @@
             return Ok(link);
         }
         if self.clock.now() < dial.not_before {
-            return Err(Report::new(NotLeft));
+            return Err(Report::new(NotSent));
         }
         match self.dial(keeper).await {
             Ok(link) => {
@@ -107,33 +107,33 @@
     }
 
     /// Whether a keeper leaves requests without an answer, or can't be reached.
-    pub fn is_silent(&self, keeper: &Keeper, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, keeper: &Keeper, now: Instant) -> bool {
         let Some(slot) = self.slots().get(&keeper.address).cloned() else {
             return false;
         };
         match slot.live() {
-            Some(link) => link.is_silent(now),
+            Some(link) => link.is_unresponsive(now),
             None => slot.failing.load(Ordering::Acquire),
         }
     }
 
-    async fn dial(&self, keeper: &Keeper) -> Result<Arc<Link>, Report<NotLeft>> {
+    async fn dial(&self, keeper: &Keeper) -> Result<Arc<Link>, Report<NotSent>> {
         let dial = link::dial(keeper.address, &self.own, &self.key);
-        let dialled = tokio::time::timeout(DIAL_TIMEOUT, dial).await.change_context(NotLeft);
-        let dialled = dialled.and_then(|dialled| dialled.change_context(NotLeft));
+        let dialled = tokio::time::timeout(DIAL_TIMEOUT, dial).await.change_context(NotSent);
+        let dialled = dialled.and_then(|dialled| dialled.change_context(NotSent));
         let (peer, reader, writer) = dialled.inspect_err(|report| {
             warn!(self.log, "a keeper can't be reached";
                 "keeper" => %keeper.name, "address" => %keeper.address, "error" => #%report);
         })?;
         if peer.name != keeper.name.as_str() {
-            return Err(Report::new(NotLeft));
+            return Err(Report::new(NotSent));
         }
         info!(self.log, "linked to a keeper"; "keeper" => %keeper.name);
         Ok(Link::start(keeper.name.clone(), peer.incarnation, (reader, writer), self.clock))
     }
 
     /// Breaks the links to entries that live no more.
-    pub fn sweep(&self, state: &State) {
+    pub fn close_stale(&self, state: &State) {
         self.slots().retain(|_, slot| {
             let Some(link) = slot.live() else {
                 return true;
@@ -141,25 +141,25 @@
             let gone = |entry: &control::state::Entry| entry.incarnation > link.incarnation;
             let lives = state.entries.get(&link.name).is_some_and(|entry| !gone(entry));
             if !lives {
-                link.end();
+                link.close();
             }
             lives
         });
     }
 
     /// Says farewell on each link.
-    pub async fn farewell(&self) {
+    pub async fn send_farewell(&self) {
         let links: Vec<_> = self.slots().values().filter_map(|slot| slot.live()).collect();
         for link in links {
-            link.tell(ask::Body::Farewell(Farewell {})).await;
+            link.send(ask::Body::Farewell(Farewell {})).await;
         }
     }
 
     /// Breaks each link.
-    pub fn end(&self) {
+    pub fn close(&self) {
         for slot in std::mem::take(&mut *self.slots()).into_values() {
             if let Some(link) = slot.set(None) {
-                link.end();
+                link.close();
             }
         }
     }
--- a/components/entry/src/front/link.rs
+++ b/components/entry/src/front/link.rs
@@ -43,21 +43,21 @@
     /// The link broke, or the answer did.
     Broken {
         /// Whether the request may have reached the keeper.
-        left: bool,
+        sent: bool,
     },
 }
 
 /// The request never left this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NotLeft;
+pub struct NotSent;
 
-impl fmt::Display for NotLeft {
+impl fmt::Display for NotSent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the request never left this process")
     }
 }
 
-impl std::error::Error for NotLeft {}
+impl std::error::Error for NotSent {}
 
 #[derive(Debug)]
 struct Route {
@@ -65,7 +65,7 @@
     sequence: u64,
     /// Bytes that the keeper may still send.
     allowed: u64,
-    left: bool,
+    sent: bool,
 }
 
 #[derive(Debug, Default)]
@@ -128,14 +128,14 @@
     }
 
     /// Whether the keeper has left requests, and pings, without an answer.
-    pub fn is_silent(&self, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
         !self.routes().open.is_empty() && self.quiet(now) > SILENCE
     }
 
     /// Asks whether the keeper lives, if nothing came of it for a while.
     pub async fn ping(&self, now: Instant) {
         if self.quiet(now) > PING_AFTER {
-            self.tell(ask::Body::Ping(Ping {})).await;
+            self.send(ask::Body::Ping(Ping {})).await;
         }
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Breaks the link.
-    pub fn end(&self) {
+    pub fn close(&self) {
         self.ended.cancel();
         let open = {
             let mut routes = self.routes();
@@ -156,15 +156,15 @@
             std::mem::take(&mut routes.open)
         };
         for route in open.into_values() {
-            drop(route.events.send(Event::Broken { left: route.left }));
+            drop(route.events.send(Event::Broken { sent: route.sent }));
         }
     }
 
     /// Sends a request; its number is set here.
     ///
     /// # Errors
-    /// [`NotLeft`] when the link is down.
-    pub async fn run(self: &Arc<Self>, mut run: Run) -> Result<Request, Report<NotLeft>> {
+    /// [`NotSent`] when the link is down.
+    pub async fn run(self: &Arc<Self>, mut run: Run) -> Result<Request, Report<NotSent>> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (events, received) = mpsc::unbounded_channel();
         run.request = number;
@@ -173,7 +173,7 @@
         let request = Request { number, events: received, link: Arc::clone(self) };
         let ask = Ask { body: Some(ask::Body::Run(run)) };
         // a request whose route is gone is not written, so this one never left
-        self.asks.send(ask).await.change_context(NotLeft)?;
+        self.asks.send(ask).await.change_context(NotSent)?;
         Ok(request)
     }
 
@@ -181,27 +181,27 @@
         &self,
         number: u64,
         events: mpsc::UnboundedSender<Event>,
-    ) -> Result<(), Report<NotLeft>> {
+    ) -> Result<(), Report<NotSent>> {
         let mut routes = self.routes();
         if routes.broken {
-            return Err(Report::new(NotLeft));
+            return Err(Report::new(NotSent));
         }
         if routes.open.is_empty() {
             self.hear();
         }
-        let route = Route { events, sequence: 0, allowed: WINDOW_BYTES, left: false };
+        let route = Route { events, sequence: 0, allowed: WINDOW_BYTES, sent: false };
         routes.open.insert(number, route);
         Ok(())
     }
 
     /// Sends what needs no answer.
-    pub async fn tell(&self, body: ask::Body) {
+    pub async fn send(&self, body: ask::Body) {
         drop(self.asks.send(Ask { body: Some(body) }).await);
     }
 
     /// Asks the keeper to cancel a request.
     pub async fn cancel(&self, request: u64) {
-        self.tell(ask::Body::Cancel(Cancel { request })).await;
+        self.send(ask::Body::Cancel(Cancel { request })).await;
     }
 
     fn routes(&self) -> MutexGuard<'_, Routes> {
@@ -229,7 +229,7 @@
                 break;
             }
         }
-        self.end();
+        self.close();
     }
 
     fn put(&self, writer: &mut Writer, ask: &Ask) {
@@ -242,7 +242,7 @@
         };
         if routes.farewell && !run.within {
             if let Some(route) = routes.open.remove(&run.request) {
-                drop(route.events.send(Event::Broken { left: false }));
+                drop(route.events.send(Event::Broken { sent: false }));
             }
             return;
         }
@@ -250,9 +250,9 @@
             return;
         };
         if writer.put(ask).is_ok() {
-            route.left = true;
+            route.sent = true;
         } else if let Some(route) = routes.open.remove(&run.request) {
-            drop(route.events.send(Event::Broken { left: false }));
+            drop(route.events.send(Event::Broken { sent: false }));
         }
     }
 
@@ -269,7 +269,7 @@
                 Ok(None) | Err(_) => break,
             }
         }
-        self.end();
+        self.close();
     }
 
     fn dispatch(&self, body: answer::Body) {
@@ -283,7 +283,7 @@
                     return;
                 };
                 let whole = route.sequence == end.parts;
-                let event = if whole { Event::End(end) } else { Event::Broken { left: true } };
+                let event = if whole { Event::End(end) } else { Event::Broken { sent: true } };
                 drop(route.events.send(event));
             }
             answer::Body::Closing(_) => {
@@ -307,7 +307,7 @@
             return;
         }
         if let Some(route) = routes.open.remove(&part.request) {
-            drop(route.events.send(Event::Broken { left: true }));
+            drop(route.events.send(Event::Broken { sent: true }));
         }
     }
 
@@ -334,11 +334,11 @@
 impl Request {
     /// What becomes of it next. Safe to drop while it waits.
     pub async fn next(&mut self) -> Event {
-        self.events.recv().await.unwrap_or(Event::Broken { left: true })
+        self.events.recv().await.unwrap_or(Event::Broken { sent: true })
     }
 
     /// What is known of it without waiting.
-    pub fn ready(&mut self) -> Option<Event> {
+    pub fn try_next(&mut self) -> Option<Event> {
         self.events.try_recv().ok()
     }
 
@@ -346,7 +346,7 @@
     pub async fn credit(&self, bytes: u64) {
         self.link.allow(self.number, bytes);
         let credit = Credit { request: self.number, bytes };
-        self.link.tell(ask::Body::Credit(credit)).await;
+        self.link.send(ask::Body::Credit(credit)).await;
     }
 }
 
--- a/components/entry/src/front/local.rs
+++ b/components/entry/src/front/local.rs
@@ -55,7 +55,7 @@
     }
 
     /// Ends a transaction that is already rolled back.
-    pub(super) fn end_lost(&mut self) {
+    pub(super) fn end_rolled_back(&mut self) {
         self.session.transaction = Transaction::None;
         self.conn.output.complete("ROLLBACK");
     }
@@ -98,7 +98,7 @@
             Message::Execute(execute) => {
                 match portals.get(&text(&execute.name)).ok_or(Feature::Mixed)? {
                     Answered::Local(local) => self.answer(local)?,
-                    Answered::Rollback => self.end_lost(),
+                    Answered::Rollback => self.end_rolled_back(),
                 }
             }
             Message::Close(target, name) => {
@@ -122,7 +122,7 @@
 
     fn answer(&mut self, local: &Local) -> Result<(), Problem> {
         match local {
-            Local::SetSession(token) => self.adopt(token)?,
+            Local::SetSession(token) => self.merge_token(token)?,
             Local::ResetSession => self.session.floors = session::Floors::new(),
             Local::ShowSession => {
                 let token = self.token();
@@ -142,7 +142,7 @@
     }
 
     /// Raises the floors to those of a token.
-    pub(super) fn adopt(&mut self, token: &str) -> Result<(), Problem> {
+    pub(super) fn merge_token(&mut self, token: &str) -> Result<(), Problem> {
         let floors = self.front.keys.verify(&self.session.service, token);
         let floors = floors
             .map_err(|report| Problem::new(Code::Token, report.current_context().to_string()))?;
@@ -156,7 +156,7 @@
     }
 
     /// Tells the caller its token.
-    pub(super) fn report(&mut self) {
+    pub(super) fn report_token(&mut self) {
         let token = self.token();
         self.conn.output.parameter(pg::setting::SESSION, &token);
     }
--- a/components/entry/src/front/login.rs
+++ b/components/entry/src/front/login.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 
 use super::caller::Caller;
-use super::conn::{Conn, Gone};
+use super::conn::{Conn, Disconnect};
 use super::session::{Session, Transaction};
 use super::{Front, admit};
 
@@ -28,14 +28,20 @@
 /// Logs a caller in; `None` when it wanted something else, which is done.
 ///
 /// # Errors
-/// The reason why it is [`Gone`].
-pub async fn login(front: &Arc<Front>, stream: TcpStream) -> Result<Option<Caller>, Report<Gone>> {
+/// The reason why it is [`Disconnect`].
+pub async fn login(
+    front: &Arc<Front>,
+    stream: TcpStream,
+) -> Result<Option<Caller>, Report<Disconnect>> {
     let done = tokio::time::timeout(TIMEOUT, start(front, stream)).await;
-    done.change_context(Gone::Timeout)?
+    done.change_context(Disconnect::Timeout)?
 }
 
-async fn start(front: &Arc<Front>, stream: TcpStream) -> Result<Option<Caller>, Report<Gone>> {
-    stream.set_nodelay(true).change_context(Gone::Io)?;
+async fn start(
+    front: &Arc<Front>,
+    stream: TcpStream,
+) -> Result<Option<Caller>, Report<Disconnect>> {
+    stream.set_nodelay(true).change_context(Disconnect::Io)?;
     let mut conn = Conn::new(stream);
     let mut is_tls = false;
     loop {
@@ -46,11 +52,11 @@
                 Some(acceptor) => {
                     // bytes sent in the clear before the handshake are not to be trusted
                     if conn.input.has_remaining() {
-                        return Err(Report::new(Gone::Protocol));
+                        return Err(Report::new(Disconnect::Protocol));
                     }
                     conn.write(b"S").await?;
                     let accepted = acceptor.accept(conn.into_io()).await;
-                    conn = Conn::new(accepted.change_context(Gone::Io)?);
+                    conn = Conn::new(accepted.change_context(Disconnect::Io)?);
                     is_tls = true;
                 }
             },
@@ -63,7 +69,7 @@
     }
 }
 
-async fn packet(conn: &mut Conn) -> Result<Packet, Report<Gone>> {
+async fn packet(conn: &mut Conn) -> Result<Packet, Report<Disconnect>> {
     loop {
         match startup::take(&mut conn.input) {
             Ok(Some(packet)) => return Ok(packet),
@@ -72,13 +78,17 @@
                 let message = report.current_context().to_string();
                 conn.output.fatal(&Problem::new(Code::Protocol, message));
                 conn.flush().await?;
-                return Err(report.change_context(Gone::Protocol));
+                return Err(report.change_context(Disconnect::Protocol));
             }
         }
     }
 }
 
-async fn open(front: &Arc<Front>, mut conn: Conn, start: &Start) -> Result<Caller, Report<Gone>> {
+async fn open(
+    front: &Arc<Front>,
+    mut conn: Conn,
+    start: &Start,
+) -> Result<Caller, Report<Disconnect>> {
     match admitted(front, &mut conn, start).await {
         Ok(session) => {
             let mut caller = Caller::new(Arc::clone(front), conn, session);
@@ -96,15 +106,15 @@
     }
 }
 
-fn refuse(problem: Problem) -> Report<Gone> {
-    Report::new(problem).change_context(Gone::Refused)
+fn refuse(problem: Problem) -> Report<Disconnect> {
+    Report::new(problem).change_context(Disconnect::Refused)
 }
 
 async fn admitted(
     front: &Arc<Front>,
     conn: &mut Conn,
     start: &Start,
-) -> Result<Session, Report<Gone>> {
+) -> Result<Session, Report<Disconnect>> {
     if start.minor > 0 || start.unknown().next().is_some() {
         conn.output.negotiate(start.unknown().map(str::to_owned).collect());
     }
@@ -120,8 +130,8 @@
         return Err(refuse(Problem::new(Code::Unready, message)));
     }
     let database = start.get("database").unwrap_or(user);
-    front.view.read(|state| admit::opens(state, user, database)).map_err(refuse)?;
-    let name = |text: &str| Name::new(text).change_context(Gone::Refused);
+    front.view.read(|state| admit::check_access(state, user, database)).map_err(refuse)?;
+    let name = |text: &str| Name::new(text).change_context(Disconnect::Refused);
     let mut session = Session {
         service: name(user)?,
         group: name(database)?,
@@ -129,7 +139,7 @@
         floors: Floors::new(),
         prepared: pg::Prepared::new(),
         transaction: Transaction::None,
-        number: front.number(),
+        number: front.next_session_number(),
         cycles: 0,
         cancel: front.cancels.add(),
     };
@@ -169,11 +179,15 @@
     output.parameter("session_authorization", start.get("user").unwrap_or_default());
     output.parameter(setting::APPLICATION, &caller.session.application);
     output.key(caller.session.cancel.target);
-    caller.report();
-    caller.ready();
+    caller.report_token();
+    caller.write_ready();
 }
 
-async fn authenticate(front: &Front, conn: &mut Conn, user: &str) -> Result<(), Report<Gone>> {
+async fn authenticate(
+    front: &Front,
+    conn: &mut Conn,
+    user: &str,
+) -> Result<(), Report<Disconnect>> {
     let Some(users) = &front.users else {
         return Ok(());
     };
@@ -182,7 +196,7 @@
         refuse(Problem::new(Code::Password, message))
     };
     // an unknown user is led through the same steps, so that it can't be told apart
-    let decoy = || Verifier::new(&rand::random::<u64>().to_string(), &front.salt(user));
+    let decoy = || Verifier::new(&rand::random::<u64>().to_string(), &front.decoy_salt(user));
     let verifier = users.get(user).cloned().unwrap_or_else(decoy);
     conn.output.authentication(&Authentication::SASL(vec![MECHANISM.to_owned()]));
     conn.flush().await?;
@@ -197,9 +211,9 @@
     Ok(())
 }
 
-async fn response(conn: &mut Conn) -> Result<Bytes, Report<Gone>> {
+async fn response(conn: &mut Conn) -> Result<Bytes, Report<Disconnect>> {
     let frame = conn.next().await?;
-    match Message::decode(&frame).change_context(Gone::Protocol)? {
+    match Message::decode(&frame).change_context(Disconnect::Protocol)? {
         Message::Password(bytes) if bytes.len() <= startup::MAX_BYTES => Ok(bytes),
         _ => Err(refuse(Problem::new(Code::Protocol, "a password is due"))),
     }
--- a/components/entry/src/front/metrics.rs
+++ b/components/entry/src/front/metrics.rs
@@ -66,13 +66,13 @@
     }
 
     /// Notes how long a statement took.
-    pub fn statement(&self, time: Duration, writes: bool, done: bool) {
+    pub fn record_statement(&self, time: Duration, writes: bool, done: bool) {
         let kind = Kind { writes: writes.to_string(), done: done.to_string() };
         self.seconds.get_or_create(&kind).observe(time.as_secs_f64());
     }
 
     /// Counts a cycle that ended.
-    pub fn cycle(&self, end: &End) {
+    pub fn record_cycle(&self, end: &End) {
         let labels = Labels {
             outcome: end.outcome().to_string(),
             reason: end.reason().to_string(),
--- a/components/entry/src/front/mod.rs
+++ b/components/entry/src/front/mod.rs
@@ -19,12 +19,13 @@
 //! - [`tls`], [`metrics`]: what their names say.
 
 pub mod admit;
+pub mod attempt;
 pub mod caller;
 pub mod cancels;
 pub mod choose;
 pub mod conn;
 mod counts;
-mod errand;
+mod dispatch;
 pub mod keepers;
 pub mod link;
 mod local;
@@ -34,7 +35,6 @@
 mod run;
 pub mod session;
 pub mod tls;
-pub mod verdict;
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -139,7 +139,7 @@
 
 impl Front {
     /// A number that no session had before.
-    fn number(&self) -> u64 {
+    fn next_session_number(&self) -> u64 {
         self.numbers.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// The salt of a user that is not known: the same each time.
-    fn salt(&self, user: &str) -> [u8; SALT_BYTES] {
+    fn decoy_salt(&self, user: &str) -> [u8; SALT_BYTES] {
         let proof = self.key.prove(&[b"salt", user.as_bytes()]);
         *proof.first_chunk().expect("a proof is longer than a salt")
     }
@@ -230,20 +230,20 @@
         let cut = self.callers.len();
         self.kill.cancel();
         self.callers.wait().await;
-        self.front.keepers.farewell().await;
+        self.front.keepers.send_farewell().await;
         cut
     }
 
     /// Breaks the links to keepers, once nothing is asked any more.
-    pub fn end(&self) {
-        self.front.keepers.end();
+    pub fn close_links(&self) {
+        self.front.keepers.close();
     }
 
     /// Drops everything at once.
     pub fn kill(&self) {
         self.stop.cancel();
         self.kill.cancel();
-        self.front.keepers.end();
+        self.front.keepers.close();
     }
 }
 
@@ -290,10 +290,10 @@
 
 /// Waits for input of a caller that stands between two requests, or for another
 /// phase; whether the caller stays.
-async fn stays(
+async fn wait_for_input(
     phase: &mut watch::Receiver<Phase>,
-    input: impl Future<Output = Result<(), Report<conn::Gone>>>,
-) -> Result<bool, Report<conn::Gone>> {
+    input: impl Future<Output = Result<(), Report<conn::Disconnect>>>,
+) -> Result<bool, Report<conn::Disconnect>> {
     if *phase.borrow_and_update() != Phase::Open {
         // a request that came before the phase was seen is still run
         return match tokio::time::timeout(Duration::ZERO, input).await {
@@ -336,7 +336,7 @@
     let mut version = 0;
     while changes.changed().await.is_ok() {
         let (current, declarations) = front.view.read(|state| {
-            front.keepers.sweep(state);
+            front.keepers.close_stale(state);
             (state.version, Arc::clone(&state.declarations))
         });
         if current != version {
--- a/components/entry/src/front/plain.rs
+++ b/components/entry/src/front/plain.rs
@@ -8,9 +8,9 @@
 //! - `caller`: its session, statement by statement.
 //! - `whole`: an answer that is kept until it is over.
 
+mod buffer;
 mod caller;
 mod conn;
-mod whole;
 
 use std::sync::Arc;
 
@@ -20,8 +20,8 @@
 use tokio::net::TcpStream;
 
 use super::Front;
-use super::conn::Gone;
-use super::errand::expects_lease;
+use super::conn::Disconnect;
+use super::dispatch::expects_lease;
 use caller::Caller;
 use conn::Conn;
 
@@ -45,7 +45,7 @@
 }
 
 /// Takes the first message; the database, if there is one of that name.
-async fn start(front: &Front, conn: &mut Conn) -> Result<Option<Name>, Report<Gone>> {
+async fn start(front: &Front, conn: &mut Conn) -> Result<Option<Name>, Report<Disconnect>> {
     let ask = conn.next().await?;
     wait_for_lease(front).await;
     let known = match &ask {
--- a/components/entry/src/front/plain/whole.rs
+++ b/components/entry/src/front/plain/buffer.rs
@@ -7,17 +7,17 @@
 use wire::Message as _;
 use wire::plain::Reply;
 
-use crate::front::conn::Gone;
-use crate::front::errand::Sink;
+use crate::front::conn::Disconnect;
+use crate::front::dispatch::Sink;
 use crate::front::link::Link;
 
 /// Keeps the whole of an answer.
 #[derive(Debug, Default)]
-pub(super) struct Whole {
+pub(super) struct Buffer {
     parts: BytesMut,
 }
 
-impl Whole {
+impl Buffer {
     /// What the keeper told, once all parts have come.
     pub(super) fn reply(&self) -> Option<Reply> {
         if self.parts.is_empty() {
@@ -27,21 +27,21 @@
     }
 }
 
-impl Sink for Whole {
+impl Sink for Buffer {
     fn start(&mut self, _link: &Arc<Link>, _number: u64) {
         self.parts.clear();
     }
 
-    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Gone>> {
+    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Disconnect>> {
         self.parts.extend_from_slice(part);
         Ok(Some(false))
     }
 
-    async fn flush(&mut self) -> Result<(), Report<Gone>> {
+    async fn flush(&mut self) -> Result<(), Report<Disconnect>> {
         Ok(())
     }
 
-    fn own(&self) -> usize {
+    fn own_answers(&self) -> usize {
         0
     }
 }
--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -15,13 +15,13 @@
 use wire::data::{End, Leave, Outcome, Reason, Run, ask};
 use wire::plain::{Begin, Execute, Reply, Task, Value};
 
+use super::buffer::Buffer;
 use super::conn::Conn;
-use super::whole::Whole;
-use crate::front::conn::Gone;
-use crate::front::errand::{Errand, millis};
+use crate::front::attempt::Attempt;
+use crate::front::conn::Disconnect;
+use crate::front::dispatch::{Dispatch, millis};
 use crate::front::link::Link;
-use crate::front::verdict::Attempt;
-use crate::front::{Front, Phase, stays};
+use crate::front::{Front, Phase, wait_for_input};
 
 /// Most values, and most prepared statements, of one session.
 const SESSION_ITEMS: usize = 1_024;
@@ -66,7 +66,7 @@
     /// Begins a session on a database.
     pub(super) fn new(front: Arc<Front>, conn: Conn, database: Name) -> Self {
         Self {
-            number: front.number(),
+            number: front.next_session_number(),
             phase: front.phase.subscribe(),
             front,
             conn,
@@ -89,7 +89,7 @@
         self.conn
     }
 
-    async fn steps(&mut self) -> Result<(), Report<Gone>> {
+    async fn steps(&mut self) -> Result<(), Report<Disconnect>> {
         loop {
             let Some(ask) = self.next().await? else {
                 return self.conn.flush().await;
@@ -106,7 +106,7 @@
     }
 
     /// The next message, or `None` when the session is to end.
-    async fn next(&mut self) -> Result<Option<Ask>, Report<Gone>> {
+    async fn next(&mut self) -> Result<Option<Ask>, Report<Disconnect>> {
         loop {
             match self.conn.take() {
                 Ok(Some(ask)) => return Ok(Some(ask)),
@@ -122,13 +122,13 @@
                 self.conn.fill().await?;
                 continue;
             }
-            if !stays(&mut self.phase, self.conn.fill()).await? {
+            if !wait_for_input(&mut self.phase, self.conn.fill()).await? {
                 return Ok(None);
             }
         }
     }
 
-    async fn query(&mut self, query: Query) -> Result<(), Report<Gone>> {
+    async fn query(&mut self, query: Query) -> Result<(), Report<Disconnect>> {
         let Query { id, text, statement } = query;
         let Some(statement) = statement else {
             return self.fail(Problem::Malformed).await;
@@ -225,7 +225,7 @@
     }
 
     /// Answers a statement within a transaction that failed.
-    async fn ended(&mut self, statement: &Statement) -> Result<(), Report<Gone>> {
+    async fn ended(&mut self, statement: &Statement) -> Result<(), Report<Disconnect>> {
         match statement {
             Statement::Rollback => {
                 self.transaction = Transaction::None;
@@ -259,7 +259,7 @@
     }
 
     /// Answers with an error; a transaction that is open fails with it.
-    async fn fail(&mut self, problem: Problem) -> Result<(), Report<Gone>> {
+    async fn fail(&mut self, problem: Problem) -> Result<(), Report<Disconnect>> {
         self.conn.put(&Answer::Problem(problem));
         self.leave().await;
         if !matches!(self.transaction, Transaction::None) {
@@ -273,12 +273,12 @@
     async fn leave(&mut self) {
         let Transaction::Open { link, .. } = &self.transaction else { return };
         let caller = self.number;
-        link.tell(ask::Body::Leave(Leave { caller })).await;
-        self.number = self.front.number();
+        link.send(ask::Body::Leave(Leave { caller })).await;
+        self.number = self.front.next_session_number();
     }
 
     /// Runs a statement and answers it.
-    async fn run(&mut self, work: Work) -> Result<(), Report<Gone>> {
+    async fn run(&mut self, work: Work) -> Result<(), Report<Disconnect>> {
         let database = |state: &control::State| {
             let found = state.declarations.databases.get(self.database.as_str()).cloned();
             (found, state.version)
@@ -300,23 +300,23 @@
         let run = self.message(&work, &declared, &group, link.is_some(), version);
         let front = Arc::clone(&self.front);
         let class = if work.access == Access::Read { Class::Read } else { Class::Write };
-        let mut errand = Errand {
+        let mut dispatch = Dispatch {
             front: &front,
             number: &mut self.number,
             class,
             started,
             deadline,
-            patience: deadline,
+            retry_window: deadline,
             run,
-            sink: Whole::default(),
+            sink: Buffer::default(),
         };
         let (attempt, link) = match link {
-            Some(link) => (errand.attempt(&link).await?, Some(link)),
-            None => errand.search().await?,
+            Some(link) => (dispatch.attempt(&link).await?, Some(link)),
+            None => dispatch.try_keepers().await?,
         };
-        let reply = errand.sink.reply();
+        let reply = dispatch.sink.reply();
         if let Attempt::Ended { end, .. } = &attempt {
-            front.metrics.cycle(end);
+            front.metrics.record_cycle(end);
         }
         let objective = Duration::from_millis(declared.objective_ms);
         self.tell(&work, &attempt, started, &group, objective, version);
@@ -337,7 +337,7 @@
         let took = now.since(started);
         let is_done = |end: &End| end.outcome() == Outcome::Done;
         let done = matches!(attempt, Attempt::Ended { end, .. } if is_done(end));
-        self.front.metrics.statement(took, work.access == Access::Write, done);
+        self.front.metrics.record_statement(took, work.access == Access::Write, done);
         if done && (objective.is_zero() || took <= objective) {
             return;
         }
@@ -397,7 +397,7 @@
         reply: Option<Reply>,
         link: Option<Arc<Link>>,
         group: Name,
-    ) -> Result<(), Report<Gone>> {
+    ) -> Result<(), Report<Disconnect>> {
         let done = match attempt {
             Attempt::Ended { end, .. } if end.outcome() == Outcome::Done => Some(end),
             _ => None,
@@ -455,7 +455,7 @@
         attempt: &Attempt,
         link: Option<Arc<Link>>,
         group: Name,
-    ) -> Result<(), Report<Gone>> {
+    ) -> Result<(), Report<Disconnect>> {
         let problem = problem(work, attempt);
         self.conn.put(&Answer::Problem(problem));
         let alone = matches!(self.transaction, Transaction::None);
@@ -464,7 +464,7 @@
             self.transaction = Transaction::Open { link, access, group };
             self.leave().await;
         } else if matches!(attempt, Attempt::Broken { .. }) {
-            self.number = self.front.number();
+            self.number = self.front.next_session_number();
         }
         self.transaction = if alone || work.ends { Transaction::None } else { Transaction::Failed };
         self.ready();
@@ -478,7 +478,7 @@
 fn problem(work: &Work, attempt: &Attempt) -> Problem {
     let late = |end: &End| end.reason() == Reason::Deadline;
     // what never left this process was not committed
-    let unsure = work.commits && *attempt != Attempt::NotLeft;
+    let unsure = work.commits && *attempt != Attempt::NotSent;
     match attempt {
         Attempt::Ended { end, .. } if end.outcome() == Outcome::NotRun => match end.reason() {
             Reason::TransactionGone => Problem::Aborted,
--- a/components/entry/src/front/plain/conn.rs
+++ b/components/entry/src/front/plain/conn.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::front::conn::{Gone, linger};
+use crate::front::conn::{Disconnect, linger};
 
 /// Longest time that a caller may take to accept an answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -42,7 +42,7 @@
     }
 
     /// The next message; `None` where the bytes are none.
-    pub(super) async fn next(&mut self) -> Result<Option<Ask>, Report<Gone>> {
+    pub(super) async fn next(&mut self) -> Result<Option<Ask>, Report<Disconnect>> {
         loop {
             match self.take() {
                 Ok(Some(ask)) => return Ok(Some(ask)),
@@ -53,10 +53,10 @@
     }
 
     /// Reads what has come. Safe to drop while it waits.
-    pub(super) async fn fill(&mut self) -> Result<(), Report<Gone>> {
+    pub(super) async fn fill(&mut self) -> Result<(), Report<Disconnect>> {
         self.input.reserve(INPUT_BYTES);
-        match self.io.read_buf(&mut self.input).await.change_context(Gone::Io)? {
-            0 => Err(Report::new(Gone::Closed)),
+        match self.io.read_buf(&mut self.input).await.change_context(Disconnect::Io)? {
+            0 => Err(Report::new(Disconnect::Closed)),
             _ => Ok(()),
         }
     }
@@ -65,13 +65,13 @@
         self.dialect.answer(answer, &mut self.output);
     }
 
-    pub(super) async fn flush(&mut self) -> Result<(), Report<Gone>> {
+    pub(super) async fn flush(&mut self) -> Result<(), Report<Disconnect>> {
         if self.output.is_empty() {
             return Ok(());
         }
         let write = self.io.write_all_buf(&mut self.output);
         let written = tokio::time::timeout(WRITE_TIMEOUT, write).await;
-        written.change_context(Gone::Timeout)?.change_context(Gone::Io)
+        written.change_context(Disconnect::Timeout)?.change_context(Disconnect::Io)
     }
 
     /// Sends what waits and closes.
--- a/components/entry/src/front/run.rs
+++ b/components/entry/src/front/run.rs
@@ -12,13 +12,13 @@
 use wire::data::{End, Leave, Outcome, Reason, Run, ask};
 
 use super::admit::{self, Admission};
+use super::attempt::{self, Attempt};
 use super::caller::Caller;
 use super::cancels;
-use super::conn::{Conn, FLUSH_BYTES, Gone};
-use super::errand::{Errand, Sink, millis};
+use super::conn::{Conn, Disconnect, FLUSH_BYTES};
+use super::dispatch::{Dispatch, Sink, millis};
 use super::link::Link;
 use super::session::Transaction;
-use super::verdict::{self, Attempt};
 
 /// Time within which a lease is expected to move from one keeper to another.
 const LEASE_MOVE: Duration = Duration::from_secs(1);
@@ -36,21 +36,21 @@
 
 impl Caller {
     /// Runs a cycle and writes its answer; whether that was an error.
-    pub(super) async fn run(&mut self, work: Work) -> Result<bool, Report<Gone>> {
+    pub(super) async fn run(&mut self, work: Work) -> Result<bool, Report<Disconnect>> {
         let started = self.front.clock.now();
         let open = match &self.session.transaction {
             Transaction::Open { link, .. } => Some(Arc::clone(link)),
-            Transaction::None | Transaction::Lost => None,
+            Transaction::None | Transaction::RolledBack => None,
         };
         let run = self.message(&work, open.is_some());
         let front = Arc::clone(&self.front);
-        let mut errand = Errand {
+        let mut dispatch = Dispatch {
             front: &front,
             number: &mut self.session.number,
             class: work.admission.rule.class,
             started,
             deadline: work.admission.deadline,
-            patience: LEASE_MOVE,
+            retry_window: LEASE_MOVE,
             run,
             sink: Answer {
                 conn: &mut self.conn,
@@ -59,12 +59,12 @@
             },
         };
         let result = match open {
-            Some(link) => errand.attempt(&link).await.map(|attempt| (attempt, Some(link))),
-            None => errand.search().await,
+            Some(link) => dispatch.attempt(&link).await.map(|attempt| (attempt, Some(link))),
+            None => dispatch.try_keepers().await,
         };
-        let failed = errand.sink.filter.failed();
-        let trace = std::mem::take(&mut errand.run.trace);
-        let running = self.session.cancel.set(None);
+        let failed = dispatch.sink.filter.failed();
+        let trace = std::mem::take(&mut dispatch.run.trace);
+        let running = self.session.cancel.set_running(None);
         match result {
             Ok((attempt, link)) => {
                 self.record(&work, &attempt, started);
@@ -75,7 +75,7 @@
                 // the caller is gone, and what it ran must not stay
                 self.session.transaction = Transaction::None;
                 if let Some((link, _)) = running {
-                    self.leave(&link).await;
+                    self.release_session(&link).await;
                 }
                 Err(report)
             }
@@ -92,7 +92,7 @@
             caller: session.number,
             service: session.service.as_str().to_owned(),
             group: session.group.as_str().to_owned(),
-            class: admit::class(class) as i32,
+            class: admit::wire_class(class) as i32,
             within,
             floor: floor.map(Into::into),
             fresh: floor.is_none() || (class == Class::Read && rule.age.is_zero()),
@@ -117,17 +117,17 @@
         trace: &str,
     ) -> bool {
         let within = self.session.transaction.is_open();
-        self.keep(work, attempt.own());
+        self.keep(work, attempt.own_answers());
         if let Attempt::Ended { end, .. } = &attempt {
-            self.front.metrics.cycle(end);
+            self.front.metrics.record_cycle(end);
         }
-        let Some(problem) = verdict::problem(&attempt, within, work.commits) else {
+        let Some(problem) = attempt::problem(&attempt, within, work.commits) else {
             self.done(work, &attempt, link, within);
             return true;
         };
         self.tell(work, attempt.reason(), &problem, started, trace);
-        let held = link.filter(|_| verdict::holds(&attempt, within));
-        self.lose(work, &problem, held, within).await;
+        let held = link.filter(|_| attempt::is_session_held(&attempt, within));
+        self.fail_request(work, &problem, held, within).await;
         false
     }
 
@@ -184,7 +184,7 @@
             let rose = self.session.floors.raise(&self.session.group, mark.into());
             let wrote = work.admission.rule.class != Class::Read || within;
             if rose && wrote && !end.replica {
-                self.report();
+                self.report_token();
             }
         }
         let status = u8::try_from(end.status).ok().and_then(Status::from_byte);
@@ -199,7 +199,7 @@
     ///
     /// A transaction that is not over for the caller stays failed until the
     /// caller ends it, so that no later statement of it runs by itself.
-    async fn lose(
+    async fn fail_request(
         &mut self,
         work: &Work,
         problem: &Problem,
@@ -208,17 +208,17 @@
     ) {
         self.conn.output.error(problem);
         if let Some(link) = link {
-            self.leave(&link).await;
+            self.release_session(&link).await;
         }
         self.session.transaction =
-            if within && !work.commits { Transaction::Lost } else { Transaction::None };
+            if within && !work.commits { Transaction::RolledBack } else { Transaction::None };
     }
 
     /// Makes a keeper forget the session; it goes on under another number.
-    pub(super) async fn leave(&mut self, link: &Link) {
+    pub(super) async fn release_session(&mut self, link: &Link) {
         let caller = self.session.number;
-        link.tell(ask::Body::Leave(Leave { caller })).await;
-        self.session.number = self.front.number();
+        link.send(ask::Body::Leave(Leave { caller })).await;
+        self.session.number = self.front.next_session_number();
     }
 }
 
@@ -231,10 +231,10 @@
 
 impl Sink for Answer<'_> {
     fn start(&mut self, link: &Arc<Link>, number: u64) {
-        self.cancel.set(Some((Arc::clone(link), number)));
+        self.cancel.set_running(Some((Arc::clone(link), number)));
     }
 
-    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Gone>> {
+    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Disconnect>> {
         let Ok(pieces) = self.filter.feed(part) else {
             return Ok(None);
         };
@@ -252,11 +252,11 @@
         Ok(Some(!pieces.is_empty()))
     }
 
-    async fn flush(&mut self) -> Result<(), Report<Gone>> {
+    async fn flush(&mut self) -> Result<(), Report<Disconnect>> {
         self.conn.flush().await
     }
 
-    fn own(&self) -> usize {
+    fn own_answers(&self) -> usize {
         self.filter.own()
     }
 }
--- a/components/entry/src/front/session.rs
+++ b/components/entry/src/front/session.rs
@@ -24,7 +24,7 @@
         failed: bool,
     },
     /// It was rolled back; the caller has still to end it.
-    Lost,
+    RolledBack,
 }
 
 impl Transaction {
@@ -33,7 +33,7 @@
         match self {
             Self::None => Status::Idle,
             Self::Open { failed: false, .. } => Status::Open,
-            Self::Open { failed: true, .. } | Self::Lost => Status::Failed,
+            Self::Open { failed: true, .. } | Self::RolledBack => Status::Failed,
         }
     }
 
--- a/components/entry/src/front/tls.rs
+++ b/components/entry/src/front/tls.rs
@@ -28,14 +28,14 @@
         path: PathBuf,
     },
     /// Certificate and key don't fit.
-    Unfit,
+    Mismatch,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::File { path } => write!(f, "no PEM could be read from {}", path.display()),
-            Self::Unfit => f.write_str("certificate and key don't fit"),
+            Self::Mismatch => f.write_str("certificate and key don't fit"),
         }
     }
 }
@@ -55,9 +55,9 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .change_context(Failure::Unfit)?
+        .change_context(Failure::Mismatch)?
         .with_no_client_auth()
         .with_single_cert(certs, key)
-        .change_context(Failure::Unfit)?;
+        .change_context(Failure::Mismatch)?;
     Ok(TlsAcceptor::from(Arc::new(config)))
 }
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -314,7 +314,7 @@
             warn!(self.log, "callers were cut at the limit"; "callers" => cut);
         }
         self.keep.close().await;
-        self.front.end();
+        self.front.close_links();
         self.follow.leave().await;
         self.ended.cancel();
         info!(self.log, "stopped");
--- a/components/entry/tests/fake/mod.rs
+++ b/components/entry/tests/fake/mod.rs
@@ -23,7 +23,7 @@
 
 /// What a keeper does with the next request, in place of running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trick {
+pub enum Fault {
     /// Says that it was not run.
     NotRun(Reason),
     /// Says that the outcome is unknown.
@@ -47,19 +47,19 @@
 /// What keepers saw and are to do.
 #[derive(Debug, Default)]
 pub struct Shared {
-    pub tricks: Mutex<VecDeque<Trick>>,
+    pub faults: Mutex<VecDeque<Fault>>,
     pub asks: Mutex<Vec<ask::Body>>,
     server: Mutex<Server>,
     /// Connections within a transaction, by caller.
     pub pinned: Mutex<HashMap<u64, Server>>,
     /// How often each payload ran.
-    pub ran: Mutex<HashMap<bytes::Bytes, usize>>,
+    pub run_counts: Mutex<HashMap<bytes::Bytes, usize>>,
     pub position: Mutex<u64>,
 }
 
 impl Shared {
-    pub fn trick(&self, trick: Trick) {
-        self.tricks.lock().unwrap().push_back(trick);
+    pub fn inject(&self, fault: Fault) {
+        self.faults.lock().unwrap().push_back(fault);
     }
 
     fn run(&self, run: &Run) -> (bytes::Bytes, Status) {
@@ -67,7 +67,7 @@
         let mut idle = self.server.lock().unwrap();
         assert_eq!(run.within, pinned.contains_key(&run.caller));
         let mut server = pinned.remove(&run.caller).unwrap_or_else(|| std::mem::take(&mut idle));
-        *self.ran.lock().unwrap().entry(run.payload.clone()).or_default() += 1;
+        *self.run_counts.lock().unwrap().entry(run.payload.clone()).or_default() += 1;
         let answer = server.run(run.payload.clone());
         let status = server.status;
         if status == Status::Idle {
@@ -133,18 +133,18 @@
         shared.asks.lock().unwrap().push(body.clone());
         match body {
             ask::Body::Run(run) => {
-                let trick = shared.tricks.lock().unwrap().pop_front();
-                if trick == Some(Trick::Freeze) {
+                let fault = shared.faults.lock().unwrap().pop_front();
+                if fault == Some(Fault::Freeze) {
                     std::future::pending::<()>().await;
                 }
-                if trick == Some(Trick::RunAndBreak) {
+                if fault == Some(Fault::RunAndBreak) {
                     drop(shared.run(&run));
                 }
-                if matches!(trick, Some(Trick::Break | Trick::RunAndBreak)) {
+                if matches!(fault, Some(Fault::Break | Fault::RunAndBreak)) {
                     drop(answers.send(None));
                     return;
                 }
-                tokio::spawn(answer(run, trick, Arc::clone(&shared), answers.clone()));
+                tokio::spawn(answer(run, fault, Arc::clone(&shared), answers.clone()));
             }
             ask::Body::Leave(leave) => {
                 drop(shared.pinned.lock().unwrap().remove(&leave.caller));
@@ -156,31 +156,31 @@
 
 async fn answer(
     run: Run,
-    trick: Option<Trick>,
+    fault: Option<Fault>,
     shared: Arc<Shared>,
     answers: mpsc::UnboundedSender<Option<Answer>>,
 ) {
     let send = |body| drop(answers.send(Some(Answer { body: Some(body) })));
     let part = |sequence, payload| Part { request: run.request, sequence, payload };
     let mut end = End { request: run.request, status: u32::from(b'I'), ..End::default() };
-    match trick {
-        Some(Trick::NotRun(reason)) => {
+    match fault {
+        Some(Fault::NotRun(reason)) => {
             end.outcome = Outcome::NotRun as i32;
             end.reason = reason as i32;
             end.retry_after_ms = 70;
             return send(answer::Body::End(end));
         }
-        Some(Trick::Unknown(reason)) => {
+        Some(Fault::Unknown(reason)) => {
             end.outcome = Outcome::Unknown as i32;
             end.reason = reason as i32;
             return send(answer::Body::End(end));
         }
-        Some(Trick::Late(wait)) => tokio::time::sleep(wait).await,
-        Some(Trick::Closing) => send(answer::Body::Closing(Closing {})),
+        Some(Fault::Late(wait)) => tokio::time::sleep(wait).await,
+        Some(Fault::Closing) => send(answer::Body::Closing(Closing {})),
         _ => {}
     }
     let (mut payload, status) = shared.run(&run);
-    if let Some(Trick::Large(bytes)) = trick {
+    if let Some(Fault::Large(bytes)) = fault {
         let mut out = pg::answer::Writer::new();
         out.column(Some("text"));
         while out.len() < bytes {
@@ -201,7 +201,7 @@
         send(answer::Body::Part(part(sequence, chunk.freeze())));
         sequence += 1;
     }
-    if trick == Some(Trick::Repeat) {
+    if fault == Some(Fault::Repeat) {
         send(answer::Body::Part(part(0, bytes::Bytes::new())));
     }
     let mut position = shared.position.lock().unwrap();
--- a/components/entry/tests/fake/raw.rs
+++ b/components/entry/tests/fake/raw.rs
@@ -38,12 +38,12 @@
 }
 
 /// A session that a test speaks byte by byte.
-pub struct Raw {
+pub struct Client {
     stream: TcpStream,
     input: bytes::BytesMut,
 }
 
-impl Raw {
+impl Client {
     pub async fn connect(address: std::net::SocketAddr) -> Self {
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(&startup()).await.unwrap();
@@ -68,7 +68,7 @@
     }
 
     /// Sends messages and returns the kinds of what is answered at once.
-    pub async fn ask(&mut self, messages: &[&[u8]], answers: usize) -> String {
+    pub async fn exchange(&mut self, messages: &[&[u8]], answers: usize) -> String {
         self.stream.write_all(&messages.concat()).await.unwrap();
         let mut kinds = String::new();
         while kinds.len() < answers {
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -8,7 +8,7 @@
 use base::prelude::*;
 
 use fake::raw::{FLUSH, SYNC, TERMINATE, startup, statement};
-use fake::{Trick, bench, code, connect, rows};
+use fake::{Fault, bench, code, connect, rows};
 use rand::{RngExt as _, SeedableRng as _};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -108,20 +108,20 @@
     let bench = bench(None).await;
     let client = bench.connect().await;
     for reason in [Reason::WrongKeeper, Reason::Closing, Reason::Unavailable] {
-        bench.shared.trick(Trick::NotRun(reason));
+        bench.shared.inject(Fault::NotRun(reason));
         assert_eq!(rows(&client, "update t").await.unwrap(), ["update t"]);
     }
-    bench.shared.trick(Trick::NotRun(Reason::QueueFull));
+    bench.shared.inject(Fault::NotRun(Reason::QueueFull));
     let error = client.simple_query("update t").await.unwrap_err();
     let error = error.as_db_error().unwrap();
     assert_eq!((error.code().code(), error.hint()), ("TF001", Some("retry after 70 ms")));
-    bench.shared.trick(Trick::Unknown(Reason::Replaced));
+    bench.shared.inject(Fault::Unknown(Reason::Replaced));
     assert_eq!(code(client.simple_query("update t").await), "TF002");
     let before = bench.shared.runs().len();
-    bench.shared.trick(Trick::Break);
+    bench.shared.inject(Fault::Break);
     assert_eq!(code(client.simple_query("update t").await), "TF002");
     assert_eq!(bench.shared.runs().len(), before + 1);
-    bench.shared.trick(Trick::Repeat);
+    bench.shared.inject(Fault::Repeat);
     assert_eq!(code(client.simple_query("update t").await), "TF002");
     assert_eq!(rows(&client, "update t").await.unwrap(), ["update t"]);
 }
@@ -155,7 +155,7 @@
     let stopping = usize::from(shared[0].runs().is_empty());
     open.simple_query("BEGIN").await.unwrap();
     let within = !shared[stopping].pinned.lock().unwrap().is_empty();
-    shared[stopping].trick(Trick::Closing);
+    shared[stopping].inject(Fault::Closing);
     rows(&client, "update t").await.unwrap();
     for _ in 0..20 {
         rows(&client, "update t").await.unwrap();
@@ -174,7 +174,7 @@
 async fn a_declared_read_is_tried_again_when_its_link_breaks() {
     let bench = bench(None).await;
     let client = bench.connect().await;
-    bench.shared.trick(Trick::Break);
+    bench.shared.inject(Fault::Break);
     assert_eq!(rows(&client, "select seat").await.unwrap(), ["select seat"]);
     assert_eq!(bench.shared.runs().len(), 2);
 }
@@ -183,7 +183,7 @@
 async fn a_declared_read_leaves_a_keeper_that_stands_still_long_before_its_deadline() {
     let bench = bench(None).await;
     let client = bench.connect().await;
-    bench.shared.trick(Trick::Freeze);
+    bench.shared.inject(Fault::Freeze);
     let read = rows(&client, "select seat");
     let limit = Duration::from_millis(2_500);
     let answered = tokio::time::timeout(limit, read).await.expect("before the deadline of 3 s");
@@ -195,7 +195,7 @@
 async fn a_late_read_stays_at_a_keeper_that_answers_pings() {
     let bench = bench(None).await;
     let client = bench.connect().await;
-    bench.shared.trick(Trick::Late(Duration::from_secs(1)));
+    bench.shared.inject(Fault::Late(Duration::from_secs(1)));
     assert_eq!(rows(&client, "select seat").await.unwrap(), ["select seat"]);
     assert_eq!(bench.shared.runs().len(), 1);
 }
@@ -205,14 +205,14 @@
     let bench = bench(None).await;
     let client = bench.connect().await;
     client.simple_query("BEGIN").await.unwrap();
-    bench.shared.trick(Trick::Break);
+    bench.shared.inject(Fault::Break);
     assert_eq!(code(client.simple_query("update t").await), "TF001");
     let before = bench.shared.runs().len();
     assert_eq!(code(client.simple_query("update t").await), "25P02");
     client.simple_query("COMMIT").await.unwrap();
     assert_eq!(bench.shared.runs().len(), before);
     client.simple_query("BEGIN").await.unwrap();
-    bench.shared.trick(Trick::Break);
+    bench.shared.inject(Fault::Break);
     assert_eq!(code(client.simple_query("COMMIT").await), "TF002");
     assert_eq!(rows(&client, "update t").await.unwrap(), ["update t"]);
 }
@@ -267,7 +267,7 @@
 async fn can_cancel_its_own_statement_only() {
     let bench = bench(None).await;
     let client = bench.connect().await;
-    bench.shared.trick(Trick::Late(Duration::from_millis(300)));
+    bench.shared.inject(Fault::Late(Duration::from_millis(300)));
     let token = client.cancel_token();
     let query = client.simple_query("update t");
     let cancel = async {
@@ -285,7 +285,7 @@
 async fn large_answers_are_given_credit() {
     let bench = bench(None).await;
     let client = bench.connect().await;
-    bench.shared.trick(Trick::Large(200 << 10));
+    bench.shared.inject(Fault::Large(200 << 10));
     assert_eq!(rows(&client, "select all").await.unwrap().len(), 203);
     let asks = bench.shared.asks.lock().unwrap();
     assert!(asks.iter().any(|body| matches!(body, ask::Body::Credit(_))));
@@ -301,26 +301,27 @@
     let client = bench.connect().await;
     for seed in 0..schedules {
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let tricks = [
+        let faults = [
             None,
-            Some(Trick::Break),
-            Some(Trick::RunAndBreak),
-            Some(Trick::Repeat),
-            Some(Trick::NotRun(Reason::Closing)),
-            Some(Trick::NotRun(Reason::WrongKeeper)),
-            Some(Trick::NotRun(Reason::Deadline)),
-            Some(Trick::Unknown(Reason::Replaced)),
+            Some(Fault::Break),
+            Some(Fault::RunAndBreak),
+            Some(Fault::Repeat),
+            Some(Fault::NotRun(Reason::Closing)),
+            Some(Fault::NotRun(Reason::WrongKeeper)),
+            Some(Fault::NotRun(Reason::Deadline)),
+            Some(Fault::Unknown(Reason::Replaced)),
         ];
-        let drawn: Vec<_> = (0..3).map(|_| tricks[random.random_range(0..tricks.len())]).collect();
-        let drawn: Vec<_> = drawn.into_iter().map_while(|trick| trick).collect();
-        *bench.shared.tricks.lock().unwrap() = drawn.iter().copied().collect();
+        let drawn: Vec<_> = (0..3).map(|_| faults[random.random_range(0..faults.len())]).collect();
+        let drawn: Vec<_> = drawn.into_iter().map_while(|fault| fault).collect();
+        *bench.shared.faults.lock().unwrap() = drawn.iter().copied().collect();
         let read = random.random_bool(0.3);
         let text = format!("{} {seed}", if read { "select seat" } else { "update t" });
         let told = client.simple_query(&text).await;
         let payload = bytes::Bytes::from(
             [b"Q", &(text.len() as u32 + 5).to_be_bytes()[..], text.as_bytes(), b"\0"].concat(),
         );
-        let ran = bench.shared.ran.lock().unwrap().get(&payload).copied().unwrap_or_default();
+        let ran =
+            bench.shared.run_counts.lock().unwrap().get(&payload).copied().unwrap_or_default();
         match told.map_err(|error| error.code().unwrap().code().to_owned()) {
             Ok(_) => assert!(ran == 1 || (read && ran > 0), "seed {seed}: {drawn:?}"),
             Err(code) if code == "TF001" => assert_eq!(ran, 0, "seed {seed}: {drawn:?}"),
@@ -435,7 +436,7 @@
     let (idle, busy, open) = (bench.connect().await, bench.connect().await, bench.connect().await);
     rows(&idle, "select 1").await.unwrap();
     open.simple_query("BEGIN").await.unwrap();
-    bench.shared.trick(Trick::Late(Duration::from_millis(200)));
+    bench.shared.inject(Fault::Late(Duration::from_millis(200)));
     let running = busy.simple_query("update t");
     let ending = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
