--- a/components/entry/src/front/admit.rs
+++ b/components/entry/src/front/admit.rs
@@ -1,4 +1,4 @@
-//! What the declarations say of a request.
+//! Access of services to database groups, and the declared rules of requests.
 
 use config::model::Class;
 use config::{Declarations, Rule};
@@ -10,20 +10,23 @@
 use base::prelude::*;
 use pg::{Code, Problem};
 
-/// How a request is to be run.
+/// How an admitted request is to be run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admission {
-    /// Its rule.
+    /// Declared rule of the request.
     pub rule: Rule,
-    /// Time that it may take in all.
+    /// Time that the request may take in total, over all attempts.
     pub deadline: Duration,
-    /// Version of the declarations.
+    /// Version of the declarations that admitted the request.
     pub version: u64,
-    /// The declarations of that version.
+    /// Declarations of that version.
     pub declarations: Arc<Declarations>,
 }
 
-/// Whether a service may use a group, and why not.
+/// Checks that a service may use a database group.
+///
+/// # Errors
+/// The reason why the service may not use it.
 pub fn check_access(state: &State, service: &str, group: &str) -> Result<(), Problem> {
     let declarations = &state.declarations;
     if !declarations.services.contains_key(service) {
@@ -41,10 +44,14 @@
     Ok(())
 }
 
-/// The rule of a request that consists of these texts.
+/// Admits a request that consists of `texts`.
+///
+/// A request runs under [`Rule::UNDECLARED`] if its texts have different rules,
+/// if a text begins or ends a transaction, or if a text holds several statements
+/// and no tag.
 ///
-/// Texts that differ in their rule, and one that begins or ends a transaction,
-/// are run as undeclared; so are several statements in one text without a tag.
+/// # Errors
+/// As [`check_access`].
 pub fn admit<'a>(
     state: &State,
     service: &str,
@@ -70,7 +77,7 @@
     state.declarations.rule(service, group, scan.tag.as_deref(), beginning(text))
 }
 
-/// The class as a keeper is told.
+/// Converts a class to its form on the link to keepers.
 pub fn wire_class(class: Class) -> wire::data::Class {
     match class {
         Class::Write => wire::data::Class::Write,
--- a/components/entry/src/front/attempt.rs
+++ b/components/entry/src/front/attempt.rs
@@ -1,47 +1,51 @@
-//! What follows from an attempt: whether another keeper may be asked, and what
-//! the caller is told.
+//! The result of an attempt to run a request at a keeper: whether the request may
+//! be retried at another keeper, and which error the caller gets.
 //!
-//! Nothing here acts; the promises about requests that did not run or ran at
-//! most once hang on these few functions.
+//! The functions of this module have no side effects. The guarantees that a request
+//! reported as not run did not run, and that a write runs at most once, depend on
+//! them.
 
 use base::prelude::*;
 use config::model::Class;
 use pg::{Code, Problem};
 use wire::data::{End, Outcome, Reason};
 
-/// When it is worth asking again, where a keeper does not say.
+/// Time after which a caller should retry, if the keeper suggests none.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What became of one attempt at a keeper.
+/// Result of one attempt at a keeper.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Attempt {
-    /// The keeper ended it.
+    /// The keeper sent the end of the answer.
     Ended {
-        /// How.
+        /// Outcome and reason as the keeper reported them.
         end: End,
-        /// Whether a part of the answer was passed on.
+        /// Whether a part of the answer was forwarded to the caller.
         forwarded: bool,
-        /// Number of own answers that were passed on.
+        /// Number of answers to the caller's own Parse and Close messages that
+        /// were forwarded.
         own_answers: usize,
     },
-    /// It never reached the keeper.
+    /// The request was not sent to the keeper.
     NotSent,
-    /// The link or the answer broke, or it took too long.
+    /// The link broke, the answer was invalid, or the attempt timed out.
     Broken {
-        /// Whether a part of the answer was passed on.
+        /// Whether a part of the answer was forwarded to the caller.
         forwarded: bool,
-        /// Number of own answers that were passed on.
+        /// Number of answers to the caller's own Parse and Close messages that
+        /// were forwarded.
         own_answers: usize,
     },
 }
 
 impl Attempt {
-    /// What stands when no keeper ran it.
+    /// A result without any part of an answer, for instance when no keeper ran the
+    /// request.
     pub fn ended(end: End) -> Self {
         Self::Ended { end, forwarded: false, own_answers: 0 }
     }
 
-    /// Why it ended as it did.
+    /// Reason of a request that was not done; [`Reason::Broken`] without an end.
     pub fn reason(&self) -> Reason {
         match self {
             Self::Ended { end, .. } => end.reason(),
@@ -49,7 +53,8 @@
         }
     }
 
-    /// Number of own answers that were passed on.
+    /// Number of answers to the caller's own Parse and Close messages that were
+    /// forwarded.
     pub fn own_answers(&self) -> usize {
         match self {
             Self::Ended { own_answers, .. } | Self::Broken { own_answers, .. } => *own_answers,
@@ -58,17 +63,18 @@
     }
 }
 
-/// The end of a request that was not run.
+/// Makes the end of a request that was not run.
 pub fn not_run(reason: Reason) -> End {
     End { outcome: Outcome::NotRun as i32, reason: reason as i32, ..End::default() }
 }
 
-/// What stands of two ends: one that may have run is not told to be not run.
+/// Combines the ends of two attempts. The outcome stays unknown once an earlier
+/// attempt may have run the request.
 pub fn combine(last: End, next: End) -> End {
     if last.outcome() == Outcome::Unknown { last } else { next }
 }
 
-/// What stands of an attempt after others that were passed on.
+/// Combines a final attempt with the end of the attempts before it.
 pub fn with_earlier(last: End, attempt: Attempt) -> Attempt {
     match attempt {
         Attempt::Ended { end, forwarded: false, .. } if end.outcome() == Outcome::NotRun => {
@@ -78,15 +84,15 @@
     }
 }
 
-/// Whether another keeper may run a request outside a transaction, and if so
-/// how it ends where none does.
+/// Returns the end to report if no other keeper runs the request, or `None` if the
+/// request must not be retried. The request must be outside a transaction.
 ///
-/// It may when the request is proved not to have run, or is declared to read
-/// only, and the caller has seen nothing of an answer.
+/// A retry is allowed if the request is proved not to have run or is declared as a
+/// read, and no part of an answer was forwarded to the caller.
 pub fn retryable_end(attempt: &Attempt, class: Class) -> Option<End> {
     match attempt {
         Attempt::NotSent => Some(not_run(Reason::Unavailable)),
-        Attempt::Ended { end, forwarded: false, .. } if is_movable(end) => Some(end.clone()),
+        Attempt::Ended { end, forwarded: false, .. } if is_retryable(end) => Some(end.clone()),
         Attempt::Broken { forwarded: false, .. } if class == Class::Read => {
             let (outcome, reason) = (Outcome::Unknown as i32, Reason::Broken as i32);
             Some(End { outcome, reason, ..End::default() })
@@ -95,9 +101,10 @@
     }
 }
 
-/// Whether it is proved not to have run, for a reason that passes.
-fn is_movable(end: &End) -> bool {
-    let passes = matches!(
+/// Whether the request is proved not to have run, for a reason that may not apply to
+/// another keeper or at a later time.
+fn is_retryable(end: &End) -> bool {
+    let transient = matches!(
         end.reason(),
         Reason::WrongKeeper
             | Reason::Closing
@@ -106,13 +113,13 @@
             | Reason::Replaced
             | Reason::Broken
     );
-    end.outcome() == Outcome::NotRun && passes
+    end.outcome() == Outcome::NotRun && transient
 }
 
-/// What the caller is told of an attempt that is not done.
+/// Returns the error for the caller, or `None` if the request is done.
 ///
-/// A transaction whose keeper is lost is rolled back there, but for a request
-/// that may have committed it.
+/// A transaction whose keeper is lost is rolled back at the backend server, unless
+/// the lost request may have committed it.
 pub fn problem(attempt: &Attempt, within: bool, commits: bool) -> Option<Problem> {
     match attempt {
         Attempt::Ended { end, .. } if end.outcome() == Outcome::Done => None,
@@ -125,7 +132,7 @@
     }
 }
 
-/// Whether the keeper may hold something of the session still.
+/// Whether the keeper may still hold a transaction or a request of the session.
 pub fn is_session_held(attempt: &Attempt, within: bool) -> bool {
     match attempt {
         Attempt::Ended { end, .. } => within || end.outcome() != Outcome::NotRun,
@@ -139,7 +146,7 @@
     Problem::new(Code::NotRun, message).after(RETRY_AFTER)
 }
 
-/// What a caller is told of an end that is not done.
+/// Converts an end that is not done to the error for the caller.
 fn explain(end: &End) -> Problem {
     let reason = end.reason();
     if end.outcome() == Outcome::NotRun {
--- a/components/entry/src/front/caller.rs
+++ b/components/entry/src/front/caller.rs
@@ -1,4 +1,4 @@
-//! The task of one caller, from login to the end of its session.
+//! The task of one PostgreSQL caller, from login to the end of its session.
 
 use std::sync::Arc;
 
@@ -18,18 +18,18 @@
 use super::session::{Session, Transaction};
 use super::{Front, Phase, wait_for_input};
 
-/// What is left to do of messages that the front has looked at.
+/// Result of the front's own processing of a cycle.
 #[derive(Debug)]
-enum Rest {
-    /// They are to be run.
+enum Handled {
+    /// The cycle is to be run at a keeper.
     Run(Work),
-    /// They are answered.
+    /// The cycle is answered.
     Answered,
-    /// They are answered, with an error at last.
+    /// The cycle is answered, and the last answer is an error.
     Failed,
 }
 
-/// One caller.
+/// A PostgreSQL caller that is logged in.
 #[derive(Debug)]
 pub struct Caller {
     pub(super) front: Arc<Front>,
@@ -40,16 +40,16 @@
 }
 
 impl Caller {
-    /// Makes the task of a caller that has logged in.
+    /// Makes a caller from its connection and the session of its login.
     pub fn new(front: Arc<Front>, conn: Conn, session: Session) -> Self {
         let phase = front.phase.subscribe();
         Self { front, conn, session, protocol: pg::Caller::new(), phase }
     }
 
-    /// Serves the caller until it is gone or the process stops.
+    /// Serves the caller until it disconnects, or the front stops or loses its lease.
     pub async fn serve(mut self) {
-        if let Err(report) = self.steps().await {
-            debug!(self.front.log, "a caller is gone"; "reason" => %report.current_context());
+        if let Err(report) = self.serve_messages().await {
+            debug!(self.front.log, "caller disconnected"; "reason" => %report.current_context());
         }
         if let Transaction::Open { link, .. } = std::mem::take(&mut self.session.transaction) {
             self.release_session(&link).await;
@@ -57,17 +57,17 @@
         self.conn.close().await;
     }
 
-    async fn steps(&mut self) -> Result<(), Report<Disconnect>> {
-        while let Some(frame) = self.frame().await? {
+    async fn serve_messages(&mut self) -> Result<(), Report<Disconnect>> {
+        while let Some(frame) = self.next_frame().await? {
             match self.protocol.on(&frame) {
                 Step::Wait => {}
-                // boxed, so that the task of an idle caller stays small
+                // boxed, so that the task of an idle caller stays small in memory
                 Step::Run(cycle) => {
-                    Box::pin(self.cycle(cycle)).await?;
+                    Box::pin(self.run_cycle(cycle)).await?;
                     self.write_ready();
                 }
                 Step::Flush(messages) => {
-                    if Box::pin(self.part(messages)).await? {
+                    if Box::pin(self.run_part(messages)).await? {
                         self.protocol.skip();
                     }
                 }
@@ -92,9 +92,9 @@
         Ok(())
     }
 
-    /// The next message, or `None` when the process stops and the caller
-    /// stands between two requests.
-    async fn frame(&mut self) -> Result<Option<Frame>, Report<Disconnect>> {
+    /// Returns the next message, or `None` if the caller is idle and the front stops
+    /// or has lost its lease.
+    async fn next_frame(&mut self) -> Result<Option<Frame>, Report<Disconnect>> {
         loop {
             match pg::frame::take(&mut self.conn.input) {
                 Ok(Some(frame)) => return Ok(Some(frame)),
@@ -116,22 +116,24 @@
         }
     }
 
-    /// Whether the caller stands between two requests and nothing is open.
+    /// Whether the caller has no open cycle and no transaction at a keeper, and no
+    /// input is buffered.
     fn is_idle(&self) -> bool {
         !self.session.transaction.is_open() && self.protocol.is_idle() && self.conn.input.is_empty()
     }
 
-    /// Answers a cycle but for its end; whether that was an error.
-    async fn cycle(&mut self, cycle: Cycle) -> Result<bool, Report<Disconnect>> {
+    /// Answers a cycle, without the ReadyForQuery that ends it. Returns whether the
+    /// cycle failed.
+    async fn run_cycle(&mut self, cycle: Cycle) -> Result<bool, Report<Disconnect>> {
         self.session.cycles += 1;
-        let rest = match cycle {
+        let handled = match cycle {
             Cycle::Query { text, bytes } => self.query(&text, bytes),
             Cycle::Extended(messages) => self.extended(messages),
         };
-        let failed = match rest {
-            Ok(Rest::Run(work)) => self.run(work).await?,
-            Ok(Rest::Answered) => false,
-            Ok(Rest::Failed) => true,
+        let failed = match handled {
+            Ok(Handled::Run(work)) => self.run(work).await?,
+            Ok(Handled::Answered) => false,
+            Ok(Handled::Failed) => true,
             Err(problem) => {
                 self.fail(&problem).await;
                 true
@@ -143,48 +145,49 @@
         Ok(failed)
     }
 
-    /// Answers a part of a cycle, if that can be told from the rest of it;
-    /// whether that was an error.
-    async fn part(&mut self, messages: Vec<Message>) -> Result<bool, Report<Disconnect>> {
+    /// Answers a flushed part of a cycle, or fails if the part can't be run separately
+    /// from the rest of its cycle. Returns whether the part failed.
+    async fn run_part(&mut self, messages: Vec<Message>) -> Result<bool, Report<Disconnect>> {
         let survey = self.session.prepared.survey(&messages);
         if survey.is_separable(!matches!(self.session.transaction, Transaction::None)) {
-            return self.cycle(Cycle::Extended(messages)).await;
+            return self.run_cycle(Cycle::Extended(messages)).await;
         }
         self.fail(&Feature::Flush.into()).await;
         Ok(true)
     }
 
-    /// Answers a text, or tells what is to be run of it.
-    fn query(&mut self, text: &str, payload: bytes::Bytes) -> Result<Rest, Problem> {
+    /// Answers a simple query or prepares it to be run at a keeper.
+    fn query(&mut self, text: &str, payload: bytes::Bytes) -> Result<Handled, Problem> {
         let scan = Scan::new(text);
         if matches!(self.session.transaction, Transaction::RolledBack) {
             if !scan.ends() {
                 return Err(failed_transaction());
             }
             self.end_rolled_back();
-            return Ok(Rest::Answered);
+            return Ok(Handled::Answered);
         }
         if scan.statements.is_empty() {
             self.conn.output.empty();
-            return Ok(Rest::Answered);
+            return Ok(Handled::Answered);
         }
-        self.check(&scan)?;
+        self.check_supported(&scan)?;
         if scan.is_local() {
-            self.check_failed()?;
+            self.check_not_failed()?;
             self.local_query(&scan);
-            return Ok(Rest::Answered);
+            return Ok(Handled::Answered);
         }
-        // as PostgreSQL does
+        // as in PostgreSQL, a simple query drops the unnamed statement
         self.session.prepared.apply(&pg::prepared::Change::Drop(String::new()));
         let admission = self.admit(std::iter::once((text, &scan)))?;
         let plan = Plan { payload, ..Plan::default() };
-        Ok(Rest::Run(Work { plan, admission, commits: scan.commits() }))
+        Ok(Handled::Run(Work { plan, admission, commits: scan.commits() }))
     }
 
-    /// Answers messages, or tells what is to be run of them.
-    fn extended(&mut self, messages: Vec<Message>) -> Result<Rest, Problem> {
+    /// Answers messages of the extended protocol or prepares them to be run at a
+    /// keeper.
+    fn extended(&mut self, messages: Vec<Message>) -> Result<Handled, Problem> {
         if messages.is_empty() {
-            return Ok(Rest::Answered);
+            return Ok(Handled::Answered);
         }
         let survey = self.session.prepared.survey(&messages);
         let scans = || survey.statements.iter().map(|statement| &statement.scan);
@@ -192,47 +195,48 @@
             if survey.statements.is_empty() || !scans().all(Scan::ends) {
                 return Err(failed_transaction());
             }
-            return Ok(self.local(&messages));
+            return Ok(self.answer_local(&messages));
         }
         for scan in scans() {
-            self.check(scan)?;
+            self.check_supported(scan)?;
         }
         if scans().any(Scan::is_local) {
             if !scans().all(Scan::is_local) {
                 return Err(Feature::Mixed.into());
             }
-            self.check_failed()?;
-            return Ok(self.local(&messages));
+            self.check_not_failed()?;
+            return Ok(self.answer_local(&messages));
         }
         let commits = scans().any(Scan::commits);
         let texts = survey.statements.iter();
-        let admission = self.admit(texts.map(|one| (one.text.as_str(), &one.scan)))?;
+        let admission =
+            self.admit(texts.map(|statement| (statement.text.as_str(), &statement.scan)))?;
         let plan = self.session.prepared.plan(messages, survey)?;
         if plan.payload.len() > MAX_BYTES {
             return Err(Problem::new(Code::Limit, "the request is too long; it was not run"));
         }
-        Ok(Rest::Run(Work { plan, admission, commits }))
+        Ok(Handled::Run(Work { plan, admission, commits }))
     }
 
-    /// Answers messages whose statements are all the front's.
-    fn local(&mut self, messages: &[Message]) -> Rest {
+    /// Answers messages whose statements the front answers without a keeper.
+    fn answer_local(&mut self, messages: &[Message]) -> Handled {
         match self.local_cycle(messages) {
-            Ok(()) => Rest::Answered,
+            Ok(()) => Handled::Answered,
             Err(problem) => {
                 self.conn.output.error(&problem);
-                Rest::Failed
+                Handled::Failed
             }
         }
     }
 
-    fn check(&self, scan: &Scan) -> Result<(), Problem> {
+    fn check_supported(&self, scan: &Scan) -> Result<(), Problem> {
         match scan.refused(self.session.transaction.is_open()) {
             Some(feature) => Err(feature.into()),
             None => Ok(()),
         }
     }
 
-    fn check_failed(&self) -> Result<(), Problem> {
+    fn check_not_failed(&self) -> Result<(), Problem> {
         match self.session.transaction {
             Transaction::Open { failed: true, .. } => Err(failed_transaction()),
             _ => Ok(()),
@@ -247,7 +251,7 @@
         self.front.view.read(|state| admit::admit(state, service, group, texts))
     }
 
-    /// Writes an error; a transaction that is open fails with it.
+    /// Writes an error and fails the open transaction, if there is one.
     async fn fail(&mut self, problem: &Problem) {
         self.conn.output.error(problem);
         match std::mem::take(&mut self.session.transaction) {
@@ -260,7 +264,7 @@
         }
     }
 
-    /// Ends the answer to a cycle.
+    /// Writes the ReadyForQuery that ends the answer to a cycle.
     pub(super) fn write_ready(&mut self) {
         self.conn.output.ready(self.session.transaction.status());
     }
--- a/components/entry/src/front/cancels.rs
+++ b/components/entry/src/front/cancels.rs
@@ -1,4 +1,4 @@
-//! Cancel requests: which session a number and a secret name.
+//! Cancel requests, which name a session by its process number and secret key.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -9,13 +9,13 @@
 
 use super::link::Link;
 
-/// Shards of the registry.
+/// Number of shards of the registry, each under its own lock.
 const SHARDS: usize = 16;
 
-/// What a session runs at present.
+/// The request that a session is running: its link, and its number there.
 type Running = Arc<Mutex<Option<(Arc<Link>, u64)>>>;
 
-/// Sessions by number.
+/// Registry of sessions that can be cancelled, by process number.
 #[derive(Debug)]
 pub struct Cancels {
     shards: [Mutex<HashMap<i32, (i32, Running)>>; SHARDS],
@@ -28,7 +28,7 @@
 }
 
 impl Cancels {
-    /// Adds a session under a number and secret drawn at random.
+    /// Adds a session under a random process number and secret.
     pub fn add(self: &Arc<Self>) -> Session {
         let running = Running::default();
         loop {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Cancels what a session runs; an unknown target changes nothing.
+    /// Cancels the request that a session is running. An unknown target or a wrong
+    /// secret has no effect.
     pub async fn cancel(&self, target: Target) {
         let running = {
             let shard = self.shard(target.process);
@@ -62,20 +63,20 @@
     }
 }
 
-/// A session that can be cancelled.
+/// Registration of a session that can be cancelled; removed when dropped.
 #[derive(Debug)]
 pub struct Session {
-    /// Its number and secret.
+    /// Process number and secret of the session.
     pub target: Target,
     running: Running,
     cancels: Arc<Cancels>,
 }
 
 impl Session {
-    /// Notes what it runs; returns what it ran before.
+    /// Sets the request that the session is running, and returns the previous one.
     pub fn set_running(&self, running: Option<(Arc<Link>, u64)>) -> Option<(Arc<Link>, u64)> {
-        let mut now = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::replace(&mut now, running)
+        let mut current = self.running.lock().unwrap_or_else(PoisonError::into_inner);
+        std::mem::replace(&mut current, running)
     }
 }
 
--- a/components/entry/src/front/choose.rs
+++ b/components/entry/src/front/choose.rs
@@ -1,4 +1,4 @@
-//! Which keeper a request goes to.
+//! The order in which the keepers of a group are tried.
 
 use std::net::SocketAddr;
 
@@ -10,14 +10,15 @@
 /// A keeper of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keeper {
-    /// Name of its entry.
+    /// Name of the entry that runs the keeper.
     pub name: Name,
-    /// Where it listens.
+    /// Address of the keeper's listener.
     pub address: SocketAddr,
 }
 
-/// Keepers of a group that may take new work, the best first: the own entry,
-/// then one in the own zone, then by a hash that spreads callers evenly.
+/// Keepers of a group that accept new requests, in the order in which they are to
+/// be tried: the `own` entry, then keepers in the same availability zone, then the
+/// others, each by a hash that spreads callers evenly. Draining entries are last.
 pub fn rank_keepers(
     state: &State,
     group: &str,
--- a/components/entry/src/front/conn.rs
+++ b/components/entry/src/front/conn.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: bytes in, messages out.
+//! Connection of a PostgreSQL caller, with buffers for input and output.
 
 use std::fmt;
 
@@ -8,49 +8,49 @@
 use pg::frame::{self, Frame};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Longest time that a caller may take to accept an answer.
+/// Time limit for one write to a caller.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest time in which what still comes is read after the end.
-const LINGER: Duration = Duration::from_millis(200);
+/// Time for which a closed connection is still read from.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Bytes of output that are sent without waiting for more.
+/// Size of the buffered output, in bytes, at which it is sent at once.
 pub const FLUSH_BYTES: usize = 64 << 10;
 
-/// Room for input while the caller is idle, in bytes.
+/// Capacity of the input buffer while it is empty, in bytes.
 const IDLE_BYTES: usize = 512;
 
-/// Room for input within a message, in bytes.
+/// Capacity reserved for input once a part of a message has arrived, in bytes.
 const BUSY_BYTES: usize = 16 << 10;
 
-/// Why a caller is gone.
+/// Why a caller was disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Disconnect {
-    /// It closed the connection.
+    /// The caller closed the connection.
     Closed,
-    /// Reading or writing failed.
+    /// Reading from or writing to the connection failed.
     Io,
-    /// It took too long.
+    /// A write or the login timed out.
     Timeout,
-    /// It broke the protocol.
+    /// The caller violated the protocol.
     Protocol,
-    /// Its login was refused.
+    /// The login was refused.
     Refused,
 }
 
 impl std::error::Error for Disconnect {}
 
-/// A connection of either kind.
+/// A byte stream, with or without TLS.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send + Sync {}
 
 impl<S: AsyncRead + AsyncWrite + Unpin + Send + Sync> Stream for S {}
 
-/// A caller's connection.
+/// Connection of a PostgreSQL caller.
 pub struct Conn {
     io: Box<dyn Stream>,
-    /// Bytes that came and are not taken yet.
+    /// Bytes received and not decoded yet.
     pub input: BytesMut,
-    /// Messages that wait to be sent.
+    /// Messages not sent yet.
     pub output: Writer,
 }
 
@@ -61,23 +61,24 @@
 }
 
 impl Conn {
-    /// Takes a connection.
+    /// Wraps a byte stream, with empty buffers.
     pub fn new(io: impl Stream + 'static) -> Self {
         Self { io: Box::new(io), input: BytesMut::new(), output: Writer::new() }
     }
 
-    /// The connection below, when nothing waits on either side.
+    /// Returns the byte stream and drops the buffers, which must be empty.
     pub fn into_io(self) -> Box<dyn Stream> {
         self.io
     }
 
-    /// Reads what has come. Safe to drop while it waits.
+    /// Reads available bytes into the input buffer, and waits until there are some.
+    /// This method is cancel safe.
     ///
     /// # Errors
     /// [`Disconnect::Closed`] or [`Disconnect::Io`].
     pub async fn fill(&mut self) -> Result<(), Report<Disconnect>> {
         if self.input.is_empty() {
-            // an idle caller keeps no large buffer
+            // keeps the memory of idle callers small
             self.input = BytesMut::with_capacity(IDLE_BYTES);
         } else {
             self.input.reserve(BUSY_BYTES);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The next message; reads until one is whole.
+    /// Returns the next message, and reads until it is complete.
     ///
     /// # Errors
     /// As [`Conn::fill`], and [`Disconnect::Protocol`].
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Sends all that waits.
+    /// Sends the buffered messages.
     ///
     /// # Errors
     /// [`Disconnect::Io`] or [`Disconnect::Timeout`].
@@ -115,7 +116,8 @@
         self.write(&output).await
     }
 
-    /// Sends bytes that are no message, and the messages before them.
+    /// Sends bytes directly. Buffered messages are not sent; call [`Conn::flush`]
+    /// before if the order matters.
     ///
     /// # Errors
     /// As [`Conn::flush`].
@@ -128,7 +130,7 @@
         written.change_context(Disconnect::Timeout)?.change_context(Disconnect::Io)
     }
 
-    /// Sends what waits and closes.
+    /// Sends the buffered messages and closes the connection.
     pub async fn close(mut self) {
         if self.flush().await.is_ok() {
             linger(&mut self.io).await;
@@ -136,14 +138,15 @@
     }
 }
 
-/// Closes a connection. What still comes is read for a moment, since unread bytes
-/// would reset the connection, and the caller would lose the last message.
+/// Closes a connection. Input is read and discarded for a short time, since
+/// unread bytes would make the kernel reset the connection, and the caller could
+/// lose the last message.
 pub async fn linger(io: &mut (impl AsyncRead + AsyncWrite + Unpin)) {
-    let rest = async {
-        // whoever is gone already needs no farewell
+    let drain = async {
+        // an error means that the caller has already disconnected
         drop(io.shutdown().await);
-        let mut scrap = [0; IDLE_BYTES];
-        while io.read(&mut scrap).await.is_ok_and(|read| read > 0) {}
+        let mut discarded = [0; IDLE_BYTES];
+        while io.read(&mut discarded).await.is_ok_and(|read| read > 0) {}
     };
-    drop(tokio::time::timeout(LINGER, rest).await);
+    drop(tokio::time::timeout(LINGER_TIMEOUT, drain).await);
 }
--- a/components/entry/src/front/counts.rs
+++ b/components/entry/src/front/counts.rs
@@ -1,4 +1,4 @@
-//! What a front counts against the objectives of services.
+//! Counts of requests against the objectives of services.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -6,17 +6,18 @@
 use burn::{Event, Ledger, Page};
 use config::{Declarations, Objective};
 
-/// Ledgers that share the counting.
+/// Number of ledgers over which callers are spread, to avoid contention.
 const SHARDS: usize = 8;
 
-/// Ledgers, each under its own lock.
+/// Counts of a front, in ledgers that each have their own lock.
 #[derive(Debug, Default)]
 pub(super) struct Counts {
     shards: [Mutex<Ledger>; SHARDS],
 }
 
 impl Counts {
-    /// Counts a request of the caller with that number.
+    /// Counts a request. `caller` is the number of the session that sent it, which
+    /// only selects the ledger.
     pub(super) fn record(
         &self,
         now: Instant,
@@ -29,18 +30,18 @@
         lock(shard).record(now, service, objectives, event);
     }
 
-    /// All that was counted.
+    /// The sum of all ledgers, as a page of this entry.
     pub(super) fn page(&self, now: Instant, entry: &Name, incarnation: u64) -> Page {
         let mut total = Ledger::new();
         for shard in &self.shards {
-            // copied, so that no caller waits for the merge
+            // copied, so that no caller waits for the lock during the merge
             let copy = lock(shard).clone();
             total.merge(&copy);
         }
         total.page(now, entry, incarnation)
     }
 
-    /// Forgets counts for objectives that are declared no more.
+    /// Drops the counts of objectives that are no longer declared.
     pub(super) fn retain(&self, declarations: &Declarations) {
         for shard in &self.shards {
             lock(shard).retain(declarations);
--- a/components/entry/src/front/dispatch.rs
+++ b/components/entry/src/front/dispatch.rs
@@ -1,8 +1,7 @@
-//! One request at the keepers of its group, whatever protocol its caller speaks.
+//! Sends one request to the keepers of its group, for callers of all protocols.
 //!
-//! A request is tried again only when it is proved that it was not run, or
-//! when it is declared to read only, and never after a part of an answer was
-//! passed on.
+//! A request is retried only if it is proved not to have run or is declared as a
+//! read, and never after a part of an answer was forwarded to the caller.
 
 use std::sync::Arc;
 
@@ -18,62 +17,64 @@
 use super::conn::Disconnect;
 use super::link::{Event, Link, Request};
 
-/// Shortest wait before the keepers are asked again.
-const PAUSE_LEAST: Duration = Duration::from_millis(10);
+/// Shortest delay before the keepers are tried again.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(10);
 
-/// Longest random addition to that wait.
-const PAUSE_SPREAD: Duration = Duration::from_millis(30);
+/// Longest random addition to [`RETRY_DELAY_MIN`].
+const RETRY_JITTER: Duration = Duration::from_millis(30);
 
-/// Time after a lease ran out in which it is expected again soon.
-const LEASE_GAP: Duration = Duration::from_millis(300);
+/// Time after the expiry of the lease in which it is still expected to be renewed.
+const LEASE_RENEWAL_GRACE: Duration = Duration::from_millis(300);
 
-/// Time between two looks at the lease.
-const LEASE_STEP: Duration = Duration::from_millis(50);
+/// Longest wait for a renewed lease before the deadline is checked again.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks at whether a keeper is silent.
-const SILENCE_STEP: Duration = Duration::from_millis(100);
+/// Time between two checks whether a keeper responds.
+const RESPONSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time beyond its deadline after which a request is given up.
-const GRACE: Duration = Duration::from_secs(1);
+/// Time after the deadline of a request at which its attempt is abandoned.
+const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 
-/// Bytes of an answer that are passed on before credit is given.
-const CREDIT_BYTES: u64 = 64 << 10;
+/// Bytes of an answer that are received before the keeper is granted new credit.
+const CREDIT_STEP_BYTES: u64 = 64 << 10;
 
-/// Where an answer goes.
+/// Receiver of an answer.
 pub(super) trait Sink {
-    /// Notes where the request runs.
+    /// Starts a new attempt: the request was sent on `link` under `number`.
     fn start(&mut self, link: &Arc<Link>, number: u64);
 
-    /// Takes a part; whether anything of it was passed on, or `None` when the
-    /// answer is out of order.
+    /// Takes a part of the answer. Returns whether any of it was forwarded to the
+    /// caller, or `None` if the part can't be an answer to this request.
     async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Disconnect>>;
 
-    /// Passes on all that waits.
+    /// Sends buffered output to the caller.
     async fn flush(&mut self) -> Result<(), Report<Disconnect>>;
 
-    /// Number of own answers that were passed on.
+    /// Number of answers to the caller's own Parse and Close messages that were
+    /// forwarded.
     fn own_answers(&self) -> usize;
 }
 
-/// One request.
+/// A request and the state of its attempts.
 pub(super) struct Dispatch<'a, S> {
     pub(super) front: &'a Front,
-    /// Number of the session towards keepers; another one after a keeper was
-    /// lost, so that nothing of it is taken up again.
+    /// Number of the session at keepers. The session gets a new number when a keeper
+    /// is lost, so that no later request continues what the old number left there.
     pub(super) number: &'a mut u64,
     pub(super) class: Class,
     pub(super) started: Instant,
-    /// Time that it may take in all.
+    /// Time limit for all attempts together.
     pub(super) deadline: Duration,
-    /// Time for which the keepers are asked again.
+    /// Time since `started` in which the request may be retried.
     pub(super) retry_window: Duration,
-    /// The request; its number and deadline are set for each attempt.
+    /// The request as a message; each attempt sets its caller number and deadline.
     pub(super) run: Run,
     pub(super) sink: S,
 }
 
 impl<S: Sink> Dispatch<'_, S> {
-    /// Tries the keepers of the group until one runs it.
+    /// Tries the keepers of the group until one runs the request. Returns the link of
+    /// that keeper with the result.
     pub(super) async fn try_keepers(
         &mut self,
     ) -> Result<(Attempt, Option<Arc<Link>>), Report<Disconnect>> {
@@ -84,7 +85,7 @@
             let now = self.front.clock.now();
             if !self.front.view.leased(now) {
                 if now < until && expects_lease(self.front, now) {
-                    self.front.view.extended(LEASE_STEP).await;
+                    self.front.view.extended(LEASE_CHECK_INTERVAL).await;
                     continue;
                 }
                 let lease = attempt::not_run(Reason::Lease);
@@ -110,12 +111,13 @@
             if self.front.clock.now() >= until {
                 return Ok((Attempt::ended(last), None));
             }
-            let pause = PAUSE_LEAST + PAUSE_SPREAD.mul_f64(rand::random());
-            drop(tokio::time::timeout(pause, changes.changed()).await);
+            let delay = RETRY_DELAY_MIN + RETRY_JITTER.mul_f64(rand::random());
+            drop(tokio::time::timeout(delay, changes.changed()).await);
         }
     }
 
-    /// Keepers of the group, the best first; those that are stopping last.
+    /// Keepers of the group in the order in which they are tried: those that are
+    /// stopping come late, and those that don't respond last.
     fn keepers(&self) -> SmallVec<[Keeper; 2]> {
         let front = self.front;
         let mut keepers = front.view.read(|state| {
@@ -128,35 +130,37 @@
         keepers
     }
 
-    /// Asks one keeper and passes its answer on.
+    /// Sends the request to one keeper and feeds its answer to the sink.
     pub(super) async fn attempt(
         &mut self,
         link: &Arc<Link>,
     ) -> Result<Attempt, Report<Disconnect>> {
         let now = self.front.clock.now();
-        let left = self.deadline.saturating_sub(now.since(self.started));
-        let run = Run { caller: *self.number, deadline_ms: millis(left), ..self.run.clone() };
+        let remaining = self.deadline.saturating_sub(now.since(self.started));
+        let run = Run { caller: *self.number, deadline_ms: millis(remaining), ..self.run.clone() };
         let Ok(mut request) = link.run(run).await else {
             return Ok(Attempt::NotSent);
         };
         self.sink.start(link, request.number);
-        let (mut forwarded, mut owed) = (false, 0);
+        let (mut forwarded, mut uncredited) = (false, 0);
         loop {
-            let Some(event) = self.event(link, &mut request, left + GRACE).await? else {
+            let Some(event) =
+                self.next_event(link, &mut request, remaining + DEADLINE_GRACE).await?
+            else {
                 return Ok(Attempt::Broken { forwarded, own_answers: self.sink.own_answers() });
             };
             match event {
                 Event::Part(part) => {
-                    let Some(more) = self.sink.feed(&part).await? else {
+                    let Some(output) = self.sink.feed(&part).await? else {
                         return Ok(Attempt::Broken {
                             forwarded,
                             own_answers: self.sink.own_answers(),
                         });
                     };
-                    forwarded |= more;
-                    owed += part.len() as u64;
-                    if owed >= CREDIT_BYTES {
-                        request.credit(std::mem::take(&mut owed)).await;
+                    forwarded |= output;
+                    uncredited += part.len() as u64;
+                    if uncredited >= CREDIT_STEP_BYTES {
+                        request.credit(std::mem::take(&mut uncredited)).await;
                     }
                 }
                 Event::End(end) => {
@@ -174,9 +178,9 @@
         }
     }
 
-    /// What becomes of a request next, or `None` when it takes too long, or when
-    /// it may run elsewhere and its keeper is silent.
-    async fn event(
+    /// Waits for the next event of a request. Returns `None` at `limit`, or earlier if
+    /// the keeper does not respond and another one may run the request.
+    async fn next_event(
         &mut self,
         link: &Link,
         request: &mut Request,
@@ -187,15 +191,15 @@
         }
         self.sink.flush().await?;
         let until = self.front.clock.now() + limit;
-        let movable = self.class == Class::Read && !self.run.within;
+        let retryable = self.class == Class::Read && !self.run.within;
         loop {
             let now = self.front.clock.now();
-            let step = until.since(now).min(SILENCE_STEP);
+            let step = until.since(now).min(RESPONSE_CHECK_INTERVAL);
             if let Ok(event) = tokio::time::timeout(step, request.next()).await {
                 return Ok(Some(event));
             }
             let now = self.front.clock.now();
-            if now >= until || (movable && link.is_unresponsive(now)) {
+            if now >= until || (retryable && link.is_unresponsive(now)) {
                 return Ok(None);
             }
             link.ping(now).await;
@@ -203,13 +207,13 @@
     }
 }
 
-/// Whether an entry without a lease is likely to have one soon, so that a
-/// request had better wait than be refused.
+/// Whether the lease expired so recently that it is likely to be renewed soon, so
+/// that a request should wait instead of being refused.
 pub(super) fn expects_lease(front: &Front, now: Instant) -> bool {
-    now.since(front.view.lease_until()) < LEASE_GAP
+    now.since(front.view.lease_until()) < LEASE_RENEWAL_GRACE
 }
 
-/// A duration as messages carry it.
+/// Converts a duration to whole milliseconds, as messages carry it.
 pub(super) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/components/entry/src/front/keepers.rs
+++ b/components/entry/src/front/keepers.rs
@@ -1,4 +1,4 @@
-//! Links to keepers, dialled on demand.
+//! Links to keepers, established on demand.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,23 +15,26 @@
 use super::choose::Keeper;
 use super::link::{Link, NotSent};
 
-/// Shortest time between two attempts to dial one keeper.
-const BACKOFF_LEAST: Duration = Duration::from_millis(20);
+/// Delay before a keeper is dialled again after the first failure; it doubles with
+/// each further one.
+const BACKOFF_MIN: Duration = Duration::from_millis(20);
 
-/// Longest time between two attempts to dial one keeper.
-const BACKOFF_MOST: Duration = Duration::from_secs(1);
+/// Longest delay before a keeper is dialled again.
+const BACKOFF_MAX: Duration = Duration::from_secs(1);
 
-/// Longest time of one attempt; callers wait for it.
+/// Time limit of one attempt to dial a keeper; short, since callers wait for it.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// The link to one keeper, and the state of dialling it.
 #[derive(Debug, Default)]
 struct Slot {
     live: Mutex<Option<Arc<Link>>>,
-    /// Whether the last dial failed.
+    /// Whether the last attempt to dial the keeper failed.
     failing: AtomicBool,
     dial: tokio::sync::Mutex<Dial>,
 }
 
+/// Backoff of one keeper; its lock also keeps callers from dialling concurrently.
 #[derive(Debug, Default)]
 struct Dial {
     failures: u32,
@@ -50,7 +53,7 @@
     }
 }
 
-/// All links of a front to keepers.
+/// The links of a front to keepers, by address of the keeper.
 #[derive(Debug)]
 pub struct Keepers {
     own: Peer,
@@ -61,16 +64,16 @@
 }
 
 impl Keepers {
-    /// Makes the links of an entry; none is dialled yet.
+    /// Makes an empty set of links for the entry `name`.
     pub fn new(name: &Name, incarnation: u64, key: link::Key, clock: Clock, log: Logger) -> Self {
         let own = Peer::new(name.as_str(), incarnation, Purpose::Data);
         Self { own, key, clock, log, slots: Mutex::default() }
     }
 
-    /// The link to a keeper, dialled if there is none.
+    /// Returns the link to a keeper, and dials the keeper if there is no live link.
     ///
     /// # Errors
-    /// [`NotSent`] when it can't be dialled, or was tried just now.
+    /// [`NotSent`] if dialling fails, or if the delay after a failure has not passed.
     pub async fn link(&self, keeper: &Keeper) -> Result<Arc<Link>, Report<NotSent>> {
         let slot = Arc::clone(self.slots().entry(keeper.address).or_default());
         if let Some(link) = slot.live() {
@@ -91,22 +94,22 @@
                 Ok(link)
             }
             Err(report) => {
-                let wait = BACKOFF_LEAST * 2_u32.saturating_pow(dial.failures.min(8));
+                let wait = BACKOFF_MIN * 2_u32.saturating_pow(dial.failures.min(8));
                 dial.failures = dial.failures.saturating_add(1);
                 slot.failing.store(true, Ordering::Release);
-                dial.not_before = self.clock.now() + wait.min(BACKOFF_MOST);
+                dial.not_before = self.clock.now() + wait.min(BACKOFF_MAX);
                 Err(report)
             }
         }
     }
 
-    /// Whether a keeper said that it is stopping.
+    /// Whether a keeper has announced that it is stopping.
     pub fn is_closing(&self, keeper: &Keeper) -> bool {
         let slot = self.slots().get(&keeper.address).cloned();
         slot.and_then(|slot| slot.live()).is_some_and(|link| link.is_closing())
     }
 
-    /// Whether a keeper leaves requests without an answer, or can't be reached.
+    /// Whether a keeper does not respond on its link or could not be dialled.
     pub fn is_unresponsive(&self, keeper: &Keeper, now: Instant) -> bool {
         let Some(slot) = self.slots().get(&keeper.address).cloned() else {
             return false;
@@ -122,32 +125,32 @@
         let dialled = tokio::time::timeout(DIAL_TIMEOUT, dial).await.change_context(NotSent);
         let dialled = dialled.and_then(|dialled| dialled.change_context(NotSent));
         let (peer, reader, writer) = dialled.inspect_err(|report| {
-            warn!(self.log, "a keeper can't be reached";
+            warn!(self.log, "could not connect to keeper";
                 "keeper" => %keeper.name, "address" => %keeper.address, "error" => #%report);
         })?;
         if peer.name != keeper.name.as_str() {
             return Err(Report::new(NotSent));
         }
-        info!(self.log, "linked to a keeper"; "keeper" => %keeper.name);
+        info!(self.log, "connected to keeper"; "keeper" => %keeper.name);
         Ok(Link::start(keeper.name.clone(), peer.incarnation, (reader, writer), self.clock))
     }
 
-    /// Breaks the links to entries that live no more.
+    /// Closes the links to entries that have left or restarted.
     pub fn close_stale(&self, state: &State) {
         self.slots().retain(|_, slot| {
             let Some(link) = slot.live() else {
                 return true;
             };
-            let gone = |entry: &control::state::Entry| entry.incarnation > link.incarnation;
-            let lives = state.entries.get(&link.name).is_some_and(|entry| !gone(entry));
-            if !lives {
+            let restarted = |entry: &control::state::Entry| entry.incarnation > link.incarnation;
+            let current = state.entries.get(&link.name).is_some_and(|entry| !restarted(entry));
+            if !current {
                 link.close();
             }
-            lives
+            current
         });
     }
 
-    /// Says farewell on each link.
+    /// Announces on each link that this front sends no new requests.
     pub async fn send_farewell(&self) {
         let links: Vec<_> = self.slots().values().filter_map(|slot| slot.live()).collect();
         for link in links {
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Breaks each link.
+    /// Closes all links.
     pub fn close(&self) {
         for slot in std::mem::take(&mut *self.slots()).into_values() {
             if let Some(link) = slot.set(None) {
--- a/components/entry/src/front/link.rs
+++ b/components/entry/src/front/link.rs
@@ -1,9 +1,9 @@
-//! One link to a keeper, shared by many callers.
+//! A link to a keeper, shared by many callers.
 //!
-//! A request is marked as having left before its first byte is written, so a
-//! request that is not marked when the link breaks was not run. When a keeper
-//! says that it is stopping, the front says farewell and from then on sends it
-//! only what belongs to open transactions; the keeper ends the link after that.
+//! A request is marked as sent before its first byte is written, so a request that
+//! is not marked when the link breaks was not run. When a keeper announces that it
+//! is stopping, the front answers with a farewell message and from then on sends
+//! only requests of open transactions. The keeper closes the link after that.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -18,97 +18,104 @@
 use tokio_util::sync::CancellationToken;
 use wire::data::{Answer, Ask, Cancel, Credit, End, Farewell, Part, Ping, Run, answer, ask};
 
-/// Bytes of an answer that a keeper may send before it is given credit.
+/// Bytes of an answer that a keeper may send before it is granted more credit.
 pub const WINDOW_BYTES: u64 = 256 << 10;
 
-/// Messages that may wait for the link.
-const QUEUE: usize = 1_024;
+/// Capacity of the queue of outgoing messages.
+const QUEUE_MESSAGES: usize = 1_024;
 
-/// Time without a word of a keeper after which it is asked whether it lives.
+/// Time without a message from a keeper after which it is pinged.
 const PING_AFTER: Duration = Duration::from_millis(150);
 
-/// Time without a word after which a keeper is taken for frozen or cut off.
-const SILENCE: Duration = Duration::from_millis(400);
+/// Time without a message after which a keeper with open requests is considered
+/// frozen or unreachable.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Bytes that are written to the link at once.
+/// Size of a batch of messages, in bytes, at which it is written to the link.
 const BATCH_BYTES: usize = 256 << 10;
 
-/// What becomes of a request.
+/// Progress of a request.
 #[derive(Debug)]
 pub enum Event {
-    /// A part of its answer came.
+    /// A part of the answer arrived.
     Part(Bytes),
-    /// It ended.
+    /// The answer ended.
     End(End),
-    /// The link broke, or the answer did.
+    /// The link broke, or the answer was invalid.
     Broken {
-        /// Whether the request may have reached the keeper.
+        /// Whether the request may have been sent to the keeper.
         sent: bool,
     },
 }
 
-/// The request never left this process.
+/// Error of a request that was not sent to the keeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotSent;
 
 impl fmt::Display for NotSent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the request never left this process")
+        f.write_str("the request was not sent to the keeper")
     }
 }
 
 impl std::error::Error for NotSent {}
 
+/// A request whose answer has not ended.
 #[derive(Debug)]
-struct Route {
+struct Pending {
     events: mpsc::UnboundedSender<Event>,
+    /// Number of parts received, which is the expected number of the next part.
     sequence: u64,
-    /// Bytes that the keeper may still send.
-    allowed: u64,
+    /// Credit left to the keeper, in bytes of the answer.
+    credit: u64,
+    /// Whether the request may have been sent to the keeper.
     sent: bool,
 }
 
+/// Requests of a link, and its state as far as it decides on new ones.
 #[derive(Debug, Default)]
-struct Routes {
-    open: HashMap<u64, Route>,
+struct Table {
+    /// Requests whose answers have not ended, by number.
+    open: HashMap<u64, Pending>,
+    /// Whether the link is closed, so that no request can be added.
     broken: bool,
-    /// Whether farewell was said: only open transactions go on.
+    /// Whether the farewell was sent: only requests of open transactions follow it.
     farewell: bool,
 }
 
-/// One link to a keeper.
+/// A link to a keeper.
 #[derive(Debug)]
 pub struct Link {
-    /// Name of the keeper's entry.
+    /// Name of the entry that runs the keeper.
     pub name: Name,
     /// Incarnation of that entry.
     pub incarnation: u64,
     clock: Clock,
     asks: mpsc::Sender<Ask>,
-    routes: Mutex<Routes>,
-    /// When something came last, or the first open request was sent, in
-    /// microseconds of the clock.
-    heard: AtomicU64,
+    table: Mutex<Table>,
+    /// Time at which the keeper last sent a message, or at which a request was opened
+    /// while none was open, whichever is later; in microseconds of the clock.
+    last_received: AtomicU64,
     next: AtomicU64,
     closing: AtomicBool,
-    closes: Notify,
+    closing_notify: Notify,
     ended: CancellationToken,
 }
 
 impl Link {
-    /// Starts the tasks of a link that was dialled.
+    /// Starts the reading and the writing task of an established link.
     pub fn start(name: Name, incarnation: u64, ends: (Reader, Writer), clock: Clock) -> Arc<Self> {
-        let (asks, queue) = mpsc::channel(QUEUE);
+        let (asks, queue) = mpsc::channel(QUEUE_MESSAGES);
         let link = Arc::new(Self {
             name,
             incarnation,
             clock,
             asks,
-            routes: Mutex::default(),
-            heard: AtomicU64::new(0),
+            table: Mutex::default(),
+            last_received: AtomicU64::new(0),
             next: AtomicU64::new(1),
             closing: AtomicBool::new(false),
-            closes: Notify::new(),
+            closing_notify: Notify::new(),
             ended: CancellationToken::new(),
         });
         let (reader, writer) = ends;
@@ -117,84 +124,86 @@
         link
     }
 
-    /// Whether the link carries requests.
+    /// Whether the link is not closed.
     pub fn is_live(&self) -> bool {
         !self.ended.is_cancelled()
     }
 
-    /// Whether the keeper said that it is stopping.
+    /// Whether the keeper has announced that it is stopping.
     pub fn is_closing(&self) -> bool {
         self.closing.load(Ordering::Acquire)
     }
 
-    /// Whether the keeper has left requests, and pings, without an answer.
+    /// Whether requests are open and the keeper has sent nothing for a while, not even
+    /// answers to pings.
     pub fn is_unresponsive(&self, now: Instant) -> bool {
-        !self.routes().open.is_empty() && self.quiet(now) > SILENCE
+        !self.table().open.is_empty() && self.idle_time(now) > RESPONSE_TIMEOUT
     }
 
-    /// Asks whether the keeper lives, if nothing came of it for a while.
+    /// Sends a ping if the keeper has sent nothing for a while.
     pub async fn ping(&self, now: Instant) {
-        if self.quiet(now) > PING_AFTER {
+        if self.idle_time(now) > PING_AFTER {
             self.send(ask::Body::Ping(Ping {})).await;
         }
     }
 
-    fn quiet(&self, now: Instant) -> Duration {
-        now.since(Instant::from_micros(self.heard.load(Ordering::Acquire)))
+    fn idle_time(&self, now: Instant) -> Duration {
+        now.since(Instant::from_micros(self.last_received.load(Ordering::Acquire)))
     }
 
-    fn hear(&self) {
-        self.heard.store(self.clock.now().as_micros(), Ordering::Release);
+    fn touch(&self) {
+        self.last_received.store(self.clock.now().as_micros(), Ordering::Release);
     }
 
-    /// Breaks the link.
+    /// Closes the link and ends its open requests.
     pub fn close(&self) {
         self.ended.cancel();
         let open = {
-            let mut routes = self.routes();
-            routes.broken = true;
-            std::mem::take(&mut routes.open)
+            let mut table = self.table();
+            table.broken = true;
+            std::mem::take(&mut table.open)
         };
-        for route in open.into_values() {
-            drop(route.events.send(Event::Broken { sent: route.sent }));
+        for pending in open.into_values() {
+            drop(pending.events.send(Event::Broken { sent: pending.sent }));
         }
     }
 
-    /// Sends a request; its number is set here.
+    /// Sends a request. Its number and window are set by this method.
     ///
     /// # Errors
-    /// [`NotSent`] when the link is down.
+    /// [`NotSent`] if the link is closed.
     pub async fn run(self: &Arc<Self>, mut run: Run) -> Result<Request, Report<NotSent>> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (events, received) = mpsc::unbounded_channel();
         run.request = number;
         run.window = WINDOW_BYTES;
-        self.open(number, events)?;
+        self.register(number, events)?;
         let request = Request { number, events: received, link: Arc::clone(self) };
         let ask = Ask { body: Some(ask::Body::Run(run)) };
-        // a request whose route is gone is not written, so this one never left
+        // on an error `request` is dropped, and the writing task skips a request that
+        // is no longer pending, so this one is not sent
         self.asks.send(ask).await.change_context(NotSent)?;
         Ok(request)
     }
 
-    fn open(
+    fn register(
         &self,
         number: u64,
         events: mpsc::UnboundedSender<Event>,
     ) -> Result<(), Report<NotSent>> {
-        let mut routes = self.routes();
-        if routes.broken {
+        let mut table = self.table();
+        if table.broken {
             return Err(Report::new(NotSent));
         }
-        if routes.open.is_empty() {
-            self.hear();
+        if table.open.is_empty() {
+            self.touch();
         }
-        let route = Route { events, sequence: 0, allowed: WINDOW_BYTES, sent: false };
-        routes.open.insert(number, route);
+        let pending = Pending { events, sequence: 0, credit: WINDOW_BYTES, sent: false };
+        table.open.insert(number, pending);
         Ok(())
     }
 
-    /// Sends what needs no answer.
+    /// Sends a message that has no answer. Errors are ignored.
     pub async fn send(&self, body: ask::Body) {
         drop(self.asks.send(Ask { body: Some(body) }).await);
     }
@@ -204,26 +213,27 @@
         self.send(ask::Body::Cancel(Cancel { request })).await;
     }
 
-    fn routes(&self) -> MutexGuard<'_, Routes> {
-        self.routes.lock().unwrap_or_else(PoisonError::into_inner)
+    fn table(&self) -> MutexGuard<'_, Table> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn write(self: Arc<Self>, mut writer: Writer, mut queue: mpsc::Receiver<Ask>) {
         loop {
             let ask = tokio::select! {
                 ask = queue.recv() => ask,
-                // the keeper waits for this, so that no request is lost on the way
-                () = self.closes.notified() => Some(farewell()),
+                // the keeper waits for the farewell, so that no request that was
+                // already sent is lost
+                () = self.closing_notify.notified() => Some(farewell()),
                 () = self.ended.cancelled() => None,
             };
             let Some(ask) = ask else {
                 break;
             };
-            self.put(&mut writer, &ask);
+            self.write_message(&mut writer, &ask);
             while writer.pending() < BATCH_BYTES
                 && let Ok(ask) = queue.try_recv()
             {
-                self.put(&mut writer, &ask);
+                self.write_message(&mut writer, &ask);
             }
             if writer.flush().await.is_err() {
                 break;
@@ -232,27 +242,27 @@
         self.close();
     }
 
-    fn put(&self, writer: &mut Writer, ask: &Ask) {
-        let mut routes = self.routes();
+    fn write_message(&self, writer: &mut Writer, ask: &Ask) {
+        let mut table = self.table();
         let Some(ask::Body::Run(run)) = &ask.body else {
-            routes.farewell |= matches!(ask.body, Some(ask::Body::Farewell(_)));
-            // an oversized message of this kind does not exist
+            table.farewell |= matches!(ask.body, Some(ask::Body::Farewell(_)));
+            // messages other than Run are never oversized
             drop(writer.put(ask));
             return;
         };
-        if routes.farewell && !run.within {
-            if let Some(route) = routes.open.remove(&run.request) {
-                drop(route.events.send(Event::Broken { sent: false }));
+        if table.farewell && !run.within {
+            if let Some(pending) = table.open.remove(&run.request) {
+                drop(pending.events.send(Event::Broken { sent: false }));
             }
             return;
         }
-        let Some(route) = routes.open.get_mut(&run.request) else {
+        let Some(pending) = table.open.get_mut(&run.request) else {
             return;
         };
         if writer.put(ask).is_ok() {
-            route.sent = true;
-        } else if let Some(route) = routes.open.remove(&run.request) {
-            drop(route.events.send(Event::Broken { sent: false }));
+            pending.sent = true;
+        } else if let Some(pending) = table.open.remove(&run.request) {
+            drop(pending.events.send(Event::Broken { sent: false }));
         }
     }
 
@@ -263,8 +273,8 @@
                 () = self.ended.cancelled() => break,
             };
             match answer {
-                Ok(Some(Answer { body: Some(body) })) => self.dispatch(body),
-                // a kind that this release does not know
+                Ok(Some(Answer { body: Some(body) })) => self.on_answer(body),
+                // a kind of message that this release does not know
                 Ok(Some(Answer { body: None })) => {}
                 Ok(None) | Err(_) => break,
             }
@@ -272,48 +282,48 @@
         self.close();
     }
 
-    fn dispatch(&self, body: answer::Body) {
-        self.hear();
+    fn on_answer(&self, body: answer::Body) {
+        self.touch();
         match body {
             answer::Body::Pong(_) => {}
-            answer::Body::Part(part) => self.part(part),
+            answer::Body::Part(part) => self.on_part(part),
             answer::Body::End(end) => {
-                let route = self.routes().open.remove(&end.request);
-                let Some(route) = route else {
+                let pending = self.table().open.remove(&end.request);
+                let Some(pending) = pending else {
                     return;
                 };
-                let whole = route.sequence == end.parts;
-                let event = if whole { Event::End(end) } else { Event::Broken { sent: true } };
-                drop(route.events.send(event));
+                let complete = pending.sequence == end.parts;
+                let event = if complete { Event::End(end) } else { Event::Broken { sent: true } };
+                drop(pending.events.send(event));
             }
             answer::Body::Closing(_) => {
                 self.closing.store(true, Ordering::Release);
-                self.closes.notify_one();
+                self.closing_notify.notify_one();
             }
         }
     }
 
-    fn part(&self, part: Part) {
-        let mut routes = self.routes();
-        let Some(route) = routes.open.get_mut(&part.request) else {
+    fn on_part(&self, part: Part) {
+        let mut table = self.table();
+        let Some(pending) = table.open.get_mut(&part.request) else {
             return;
         };
         let bytes = part.payload.len() as u64;
-        // one part may pass the window, since a message is not cut
-        if route.sequence == part.sequence && route.allowed > 0 {
-            route.sequence += 1;
-            route.allowed = route.allowed.saturating_sub(bytes);
-            drop(route.events.send(Event::Part(part.payload)));
+        // one part may exceed the window, since a message is not split
+        if pending.sequence == part.sequence && pending.credit > 0 {
+            pending.sequence += 1;
+            pending.credit = pending.credit.saturating_sub(bytes);
+            drop(pending.events.send(Event::Part(part.payload)));
             return;
         }
-        if let Some(route) = routes.open.remove(&part.request) {
-            drop(route.events.send(Event::Broken { sent: true }));
+        if let Some(pending) = table.open.remove(&part.request) {
+            drop(pending.events.send(Event::Broken { sent: true }));
         }
     }
 
-    fn allow(&self, request: u64, bytes: u64) {
-        if let Some(route) = self.routes().open.get_mut(&request) {
-            route.allowed += bytes;
+    fn add_credit(&self, request: u64, bytes: u64) {
+        if let Some(pending) = self.table().open.get_mut(&request) {
+            pending.credit += bytes;
         }
     }
 }
@@ -322,29 +332,29 @@
     Ask { body: Some(ask::Body::Farewell(Farewell {})) }
 }
 
-/// A request on its way.
+/// A request that was handed to a link.
 #[derive(Debug)]
 pub struct Request {
-    /// Its number on the link.
+    /// Number of the request, unique on its link.
     pub number: u64,
     events: mpsc::UnboundedReceiver<Event>,
     link: Arc<Link>,
 }
 
 impl Request {
-    /// What becomes of it next. Safe to drop while it waits.
+    /// Waits for the next event of the request. This method is cancel safe.
     pub async fn next(&mut self) -> Event {
         self.events.recv().await.unwrap_or(Event::Broken { sent: true })
     }
 
-    /// What is known of it without waiting.
+    /// Returns the next event if it is already there.
     pub fn try_next(&mut self) -> Option<Event> {
         self.events.try_recv().ok()
     }
 
-    /// Allows the keeper to send more.
+    /// Grants the keeper credit for `bytes` more of the answer.
     pub async fn credit(&self, bytes: u64) {
-        self.link.allow(self.number, bytes);
+        self.link.add_credit(self.number, bytes);
         let credit = Credit { request: self.number, bytes };
         self.link.send(ask::Body::Credit(credit)).await;
     }
@@ -352,6 +362,6 @@
 
 impl Drop for Request {
     fn drop(&mut self) {
-        drop(self.link.routes().open.remove(&self.number));
+        drop(self.link.table().open.remove(&self.number));
     }
 }
--- a/components/entry/src/front/local.rs
+++ b/components/entry/src/front/local.rs
@@ -1,4 +1,4 @@
-//! Cycles that the front answers by itself.
+//! Cycles that the front answers without a keeper.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 use super::caller::Caller;
 use super::session::Transaction;
 
-/// A statement that the front answers.
+/// A statement that the front answers without a keeper.
 #[derive(Clone, Debug)]
-enum Answered {
+enum Command {
     Local(Local),
-    /// The end of a transaction that is already rolled back.
+    /// The statement that ends a transaction which was already rolled back.
     Rollback,
 }
 
-impl Answered {
+impl Command {
     fn column(&self) -> Option<&'static str> {
         match self {
             Self::Local(local) => local.column(),
@@ -29,16 +29,16 @@
     }
 }
 
-fn answered(scan: &Scan) -> Option<Answered> {
+fn local_command(scan: &Scan) -> Option<Command> {
     match scan.statements.as_slice() {
-        [scan::Statement::Local(local)] => Some(Answered::Local(local.clone())),
-        _ if scan.ends() => Some(Answered::Rollback),
+        [scan::Statement::Local(local)] => Some(Command::Local(local.clone())),
+        _ if scan.ends() => Some(Command::Rollback),
         _ => None,
     }
 }
 
 impl Caller {
-    /// Answers a text whose statements are all the front's.
+    /// Answers a simple query whose statements are all local.
     pub(super) fn local_query(&mut self, scan: &Scan) {
         for statement in &scan.statements {
             let scan::Statement::Local(local) = statement else {
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Ends a transaction that is already rolled back.
+    /// Answers the statement that ends a transaction which was already rolled back.
     pub(super) fn end_rolled_back(&mut self) {
         self.session.transaction = Transaction::None;
         self.conn.output.complete("ROLLBACK");
     }
 
-    /// Answers messages whose statements are all the front's.
+    /// Answers messages of the extended protocol whose statements are all local.
     pub(super) fn local_cycle(&mut self, messages: &[Message]) -> Result<(), Problem> {
         let mut portals = BTreeMap::new();
         for message in messages {
@@ -72,7 +72,7 @@
     fn local_message(
         &mut self,
         message: &Message,
-        portals: &mut BTreeMap<String, Answered>,
+        portals: &mut BTreeMap<String, Command>,
     ) -> Result<(), Problem> {
         let text = |name: &Option<String>| name.clone().unwrap_or_default();
         match message {
@@ -97,8 +97,8 @@
             }
             Message::Execute(execute) => {
                 match portals.get(&text(&execute.name)).ok_or(Feature::Mixed)? {
-                    Answered::Local(local) => self.answer(local)?,
-                    Answered::Rollback => self.end_rolled_back(),
+                    Command::Local(local) => self.answer(local)?,
+                    Command::Rollback => self.end_rolled_back(),
                 }
             }
             Message::Close(target, name) => {
@@ -114,9 +114,9 @@
         Ok(())
     }
 
-    fn local_statement(&self, name: &str) -> Result<Answered, Problem> {
+    fn local_statement(&self, name: &str) -> Result<Command, Problem> {
         let statement = self.session.prepared.get(name);
-        let found = statement.and_then(|statement| answered(&statement.scan));
+        let found = statement.and_then(|statement| local_command(&statement.scan));
         found.ok_or_else(|| Feature::Mixed.into())
     }
 
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// Raises the floors to those of a token.
+    /// Raises the floors of the session to those of a token.
     pub(super) fn merge_token(&mut self, token: &str) -> Result<(), Problem> {
         let floors = self.front.keys.verify(&self.session.service, token);
         let floors = floors
@@ -150,12 +150,12 @@
         Ok(())
     }
 
-    /// The session's token.
+    /// Issues a token with the floors of the session.
     pub(super) fn token(&self) -> String {
         self.front.keys.issue(&self.session.service, &self.session.floors)
     }
 
-    /// Tells the caller its token.
+    /// Reports the session token to the caller as a parameter.
     pub(super) fn report_token(&mut self) {
         let token = self.token();
         self.conn.output.parameter(pg::setting::SESSION, &token);
--- a/components/entry/src/front/login.rs
+++ b/components/entry/src/front/login.rs
@@ -1,4 +1,4 @@
-//! From an accepted connection to a session.
+//! Startup and authentication of PostgreSQL callers.
 
 use std::sync::Arc;
 
@@ -19,25 +19,26 @@
 use super::session::{Session, Transaction};
 use super::{Front, admit};
 
-/// Longest time of a login.
-const TIMEOUT: Duration = Duration::from_secs(15);
+/// Time limit for a login, from the accepted connection to the session.
+const LOGIN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Parameters of a start that are no settings.
-const PARAMETERS: [&str; 4] = ["user", "database", "options", "replication"];
+/// Parameters of a startup message that are not settings.
+const NON_SETTINGS: [&str; 4] = ["user", "database", "options", "replication"];
 
-/// Logs a caller in; `None` when it wanted something else, which is done.
+/// Logs a caller in. Returns `None` if the connection carried a cancel request, which
+/// has been processed.
 ///
 /// # Errors
-/// The reason why it is [`Disconnect`].
+/// The reason why the caller was disconnected.
 pub async fn login(
     front: &Arc<Front>,
     stream: TcpStream,
 ) -> Result<Option<Caller>, Report<Disconnect>> {
-    let done = tokio::time::timeout(TIMEOUT, start(front, stream)).await;
-    done.change_context(Disconnect::Timeout)?
+    let caller = tokio::time::timeout(LOGIN_TIMEOUT, negotiate(front, stream)).await;
+    caller.change_context(Disconnect::Timeout)?
 }
 
-async fn start(
+async fn negotiate(
     front: &Arc<Front>,
     stream: TcpStream,
 ) -> Result<Option<Caller>, Report<Disconnect>> {
@@ -45,12 +46,12 @@
     let mut conn = Conn::new(stream);
     let mut is_tls = false;
     loop {
-        match packet(&mut conn).await? {
+        match next_packet(&mut conn).await? {
             Packet::Gss => conn.write(b"N").await?,
             Packet::Tls => match front.tls.as_ref().filter(|_| !is_tls) {
                 None => conn.write(b"N").await?,
                 Some(acceptor) => {
-                    // bytes sent in the clear before the handshake are not to be trusted
+                    // bytes sent in plain text before the handshake may have been injected
                     if conn.input.has_remaining() {
                         return Err(Report::new(Disconnect::Protocol));
                     }
@@ -64,12 +65,12 @@
                 front.cancels.cancel(target).await;
                 return Ok(None);
             }
-            Packet::Start(start) => return open(front, conn, &start).await.map(Some),
+            Packet::Start(start) => return open_session(front, conn, &start).await.map(Some),
         }
     }
 }
 
-async fn packet(conn: &mut Conn) -> Result<Packet, Report<Disconnect>> {
+async fn next_packet(conn: &mut Conn) -> Result<Packet, Report<Disconnect>> {
     loop {
         match startup::take(&mut conn.input) {
             Ok(Some(packet)) => return Ok(packet),
@@ -84,15 +85,15 @@
     }
 }
 
-async fn open(
+async fn open_session(
     front: &Arc<Front>,
     mut conn: Conn,
     start: &Start,
 ) -> Result<Caller, Report<Disconnect>> {
-    match admitted(front, &mut conn, start).await {
+    match admit_session(front, &mut conn, start).await {
         Ok(session) => {
             let mut caller = Caller::new(Arc::clone(front), conn, session);
-            greet(&mut caller, start);
+            write_startup_answer(&mut caller, start);
             caller.conn.flush().await?;
             Ok(caller)
         }
@@ -110,7 +111,7 @@
     Report::new(problem).change_context(Disconnect::Refused)
 }
 
-async fn admitted(
+async fn admit_session(
     front: &Arc<Front>,
     conn: &mut Conn,
     start: &Start,
@@ -143,15 +144,15 @@
         cycles: 0,
         cancel: front.cancels.add(),
     };
-    settle(front, &mut session, start).map_err(refuse)?;
+    apply_settings(front, &mut session, start).map_err(refuse)?;
     Ok(session)
 }
 
-/// Takes the settings that come with a start.
-fn settle(front: &Front, session: &mut Session, start: &Start) -> Result<(), Problem> {
+/// Applies the settings in a startup message to a session.
+fn apply_settings(front: &Front, session: &mut Session, start: &Start) -> Result<(), Problem> {
     let parameters = start.parameters.iter().map(|(name, value)| (name.as_str(), value.as_str()));
-    let own = |name: &str| !PARAMETERS.contains(&name) && !name.starts_with("_pq_.");
-    for (name, value) in parameters.filter(|(name, _)| own(name)).chain(start.options()) {
+    let is_setting = |name: &str| !NON_SETTINGS.contains(&name) && !name.starts_with("_pq_.");
+    for (name, value) in parameters.filter(|(name, _)| is_setting(name)).chain(start.options()) {
         let local = setting::assign(name, Some(value)).map_err(|feature| {
             let problem = Problem::from(feature);
             Problem::new(problem.code, format!("{name}: {}", problem.message))
@@ -170,7 +171,7 @@
     Ok(())
 }
 
-fn greet(caller: &mut Caller, start: &Start) {
+fn write_startup_answer(caller: &mut Caller, start: &Start) {
     let output = &mut caller.conn.output;
     output.authentication(&Authentication::Ok);
     for (name, value) in setting::REPORTED {
@@ -191,27 +192,28 @@
     let Some(users) = &front.users else {
         return Ok(());
     };
-    let wrong = || {
+    let wrong_password = || {
         let message = format!("password authentication failed for user \"{user}\"");
         refuse(Problem::new(Code::Password, message))
     };
-    // an unknown user is led through the same steps, so that it can't be told apart
+    // an unknown user goes through the same exchange, so that a client can't find out
+    // which users exist
     let decoy = || Verifier::new(&rand::random::<u64>().to_string(), &front.decoy_salt(user));
     let verifier = users.get(user).cloned().unwrap_or_else(decoy);
     conn.output.authentication(&Authentication::SASL(vec![MECHANISM.to_owned()]));
     conn.flush().await?;
-    let initial = response(conn).await?;
-    let first = first_message(&initial).ok_or_else(wrong)?;
-    let (answer, exchange) = verifier.start(&first).map_err(|_ignored| wrong())?;
+    let initial = next_response(conn).await?;
+    let first = first_message(&initial).ok_or_else(wrong_password)?;
+    let (answer, exchange) = verifier.start(&first).map_err(|_ignored| wrong_password())?;
     conn.output.authentication(&Authentication::SASLContinue(answer.into()));
     conn.flush().await?;
-    let last = response(conn).await?;
-    let answer = exchange.finish(&last).map_err(|_ignored| wrong())?;
+    let last = next_response(conn).await?;
+    let answer = exchange.finish(&last).map_err(|_ignored| wrong_password())?;
     conn.output.authentication(&Authentication::SASLFinal(answer.into()));
     Ok(())
 }
 
-async fn response(conn: &mut Conn) -> Result<Bytes, Report<Disconnect>> {
+async fn next_response(conn: &mut Conn) -> Result<Bytes, Report<Disconnect>> {
     let frame = conn.next().await?;
     match Message::decode(&frame).change_context(Disconnect::Protocol)? {
         Message::Password(bytes) if bytes.len() <= startup::MAX_BYTES => Ok(bytes),
@@ -219,7 +221,8 @@
     }
 }
 
-/// The client's first message out of its answer: mechanism, length, message.
+/// Extracts the client-first-message from a `SASLInitialResponse`, which consists of
+/// mechanism, length and message.
 fn first_message(initial: &Bytes) -> Option<Bytes> {
     let end = initial.iter().position(|byte| *byte == 0)?;
     let mut rest = initial.slice(end + 1..);
--- a/components/entry/src/front/metrics.rs
+++ b/components/entry/src/front/metrics.rs
@@ -1,4 +1,4 @@
-//! What a front counts.
+//! Metrics of a front.
 
 use std::time::Duration;
 
@@ -10,38 +10,38 @@
 use prometheus_client::registry::{Registry, Unit};
 use wire::data::End;
 
-/// Labels of a cycle that ended.
+/// Labels of a cycle that ended at a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Labels {
+struct CycleLabels {
     outcome: String,
     reason: String,
     replica: String,
 }
 
-/// What a front counts.
+/// Metrics of a front.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Callers that are logged in.
+    /// Number of callers that are logged in.
     pub callers: Gauge,
-    cycles: Family<Labels, Counter>,
-    seconds: Family<Kind, Histogram, fn() -> Histogram>,
+    cycles: Family<CycleLabels, Counter>,
+    seconds: Family<StatementLabels, Histogram, fn() -> Histogram>,
 }
 
-/// Labels of a statement that was answered.
+/// Labels of an answered statement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Kind {
+struct StatementLabels {
     writes: String,
     done: String,
 }
 
-/// Least time that the histogram tells apart, in seconds.
-const LEAST_SECONDS: f64 = 0.002;
+/// Upper bound of the first bucket of the latency histogram, in seconds.
+const FIRST_BUCKET_SECONDS: f64 = 0.002;
 
-/// Buckets of the histogram; each is twice as long as the one before.
-const BUCKETS: u16 = 12;
+/// Number of buckets of the latency histogram; each bound is twice the one before.
+const BUCKET_COUNT: u16 = 12;
 
 fn histogram() -> Histogram {
-    Histogram::new(exponential_buckets(LEAST_SECONDS, 2.0, BUCKETS))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT))
 }
 
 impl Default for Metrics {
@@ -65,15 +65,15 @@
         metrics
     }
 
-    /// Notes how long a statement took.
+    /// Records the time from a statement to its answer.
     pub fn record_statement(&self, time: Duration, writes: bool, done: bool) {
-        let kind = Kind { writes: writes.to_string(), done: done.to_string() };
-        self.seconds.get_or_create(&kind).observe(time.as_secs_f64());
+        let labels = StatementLabels { writes: writes.to_string(), done: done.to_string() };
+        self.seconds.get_or_create(&labels).observe(time.as_secs_f64());
     }
 
-    /// Counts a cycle that ended.
+    /// Counts a cycle that ended at a keeper.
     pub fn record_cycle(&self, end: &End) {
-        let labels = Labels {
+        let labels = CycleLabels {
             outcome: end.outcome().to_string(),
             reason: end.reason().to_string(),
             replica: end.replica.to_string(),
--- a/components/entry/src/front/mod.rs
+++ b/components/entry/src/front/mod.rs
@@ -1,22 +1,25 @@
-//! The half of an entry that meets callers.
+//! The caller side of an entry.
 //!
-//! Each caller has one task. It groups the caller's messages into cycles, says
-//! by the declarations how each may be run, sends it to a keeper of the group
-//! and passes the answer on.
+//! Each caller has one task. The task groups the caller's messages into cycles,
+//! looks up in the declarations how each cycle may be run, sends it to a keeper
+//! of the database group and forwards the answer.
 //!
-//! - [`conn`]: a caller's connection.
-//! - [`login`]: from an accepted connection to a session.
-//! - [`session`]: what is kept of a caller between two cycles.
-//! - [`caller`]: its task.
-//! - [`admit`]: what the declarations say of a request.
-//! - `errand`: one request at the keepers of its group; [`verdict`]: what
-//!   follows from an attempt. [`run`] is that for a caller of PostgreSQL.
-//! - `plain`: a caller of plain statements.
-//! - [`local`]: cycles that the front answers by itself.
-//! - [`choose`], [`keepers`], [`link`]: keepers and the links to them.
-//! - [`counts`]: what is counted against the objectives of services.
+//! - [`conn`]: the connection of a PostgreSQL caller.
+//! - [`login`]: startup and authentication of a PostgreSQL caller.
+//! - [`session`]: state of a caller between two cycles.
+//! - [`caller`]: the task of a PostgreSQL caller.
+//! - [`admit`]: access checks and the declared rule of a request.
+//! - `dispatch`: sends one request to the keepers of its group and retries it.
+//! - [`attempt`]: the result of one attempt, and whether it may be retried.
+//! - `run`: runs one cycle of a PostgreSQL caller.
+//! - `plain`: callers of plain statements.
+//! - `local`: cycles that the front answers without a keeper.
+//! - [`choose`]: the order in which keepers are tried.
+//! - [`keepers`], [`link`]: the links to keepers.
+//! - `counts`: requests counted against the objectives of services.
 //! - [`cancels`]: cancel requests.
-//! - [`tls`], [`metrics`]: what their names say.
+//! - [`tls`]: TLS towards callers.
+//! - [`metrics`]: metrics of a front.
 
 pub mod admit;
 pub mod attempt;
@@ -55,41 +58,41 @@
 
 use crate::View;
 
-/// Time before a listener that failed is tried again.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Time between a failed accept and the next one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time without a lease after which idle callers are let go: an entry that is
-/// cut off from control can't serve them, and others can.
-const UNLEASED: Duration = Duration::from_millis(500);
+/// Time without a lease after which idle callers are disconnected: an entry that
+/// is cut off from control can't serve them, and other entries can.
+const UNLEASED_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the lease.
-const LEASE_CHECK: Duration = Duration::from_millis(200);
+/// Time between two checks of the lease.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Settings of a front.
 pub struct Settings {
     /// Name of the entry.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
     /// Incarnation of the entry.
     pub incarnation: u64,
-    /// Where callers connect.
+    /// Listener for callers.
     pub listener: TcpListener,
-    /// The key that the system's processes share.
+    /// Key that the system's processes share.
     pub key: ::link::Key,
-    /// Users and their passwords; without them each login is trusted.
+    /// Users and their password verifiers; without them every login is trusted.
     pub users: Option<Users>,
-    /// TLS towards callers.
+    /// TLS towards callers; without it callers connect in plain text only.
     pub tls: Option<TlsAcceptor>,
-    /// Protocol of plain statements; none where callers speak PostgreSQL.
+    /// Protocol of plain statements; `None` if callers speak PostgreSQL.
     pub dialect: Option<Arc<dyn Dialect>>,
-    /// What is known of the control log.
+    /// The control state as this entry has applied it, and the entry's lease.
     pub view: View,
-    /// Time.
+    /// Clock of the process; the lease in the view is measured on it too.
     pub clock: Clock,
-    /// Where metrics are registered.
+    /// Registry for the metrics of the front.
     pub metrics: Registry,
-    /// Log.
+    /// Logger of the front.
     pub log: Logger,
 }
 
@@ -99,18 +102,18 @@
     }
 }
 
-/// How far a front is.
+/// Whether a front serves callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes callers.
+    /// The front accepts callers.
     Open,
-    /// It has no lease, and lets idle callers go.
+    /// The front has no lease and disconnects idle callers.
     Unleased,
-    /// It finishes what runs.
+    /// The front is stopping and finishes open requests and transactions.
     Closing,
 }
 
-/// What all callers of a front share.
+/// State that all callers of a front share.
 pub struct Front {
     name: Name,
     zone: Name,
@@ -125,7 +128,7 @@
     keepers: keepers::Keepers,
     cancels: Arc<cancels::Cancels>,
     phase: watch::Sender<Phase>,
-    numbers: AtomicU64,
+    next_session: AtomicU64,
     metrics: metrics::Metrics,
     counts: counts::Counts,
     log: Logger,
@@ -138,24 +141,25 @@
 }
 
 impl Front {
-    /// A number that no session had before.
+    /// Returns a session number that this front has not used before.
     fn next_session_number(&self) -> u64 {
-        self.numbers.fetch_add(1, Ordering::Relaxed)
+        self.next_session.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// What was counted against the objectives of services.
+    /// Requests counted against the objectives of services.
     pub fn page(&self) -> burn::Page {
         self.counts.page(self.clock.now(), &self.name, self.incarnation)
     }
 
-    /// The salt of a user that is not known: the same each time.
+    /// Salt for the login of an unknown user. The salt is the same for every login
+    /// of one name, as a known user's is, so that the two can't be told apart.
     fn decoy_salt(&self, user: &str) -> [u8; SALT_BYTES] {
         let proof = self.key.prove(&[b"salt", user.as_bytes()]);
         *proof.first_chunk().expect("a proof is longer than a salt")
     }
 }
 
-/// A front that runs.
+/// A running front.
 #[derive(Debug)]
 pub struct Handle {
     front: Arc<Front>,
@@ -189,7 +193,7 @@
         keepers: links,
         cancels: Arc::default(),
         phase: watch::Sender::new(Phase::Open),
-        numbers: AtomicU64::new(1),
+        next_session: AtomicU64::new(1),
         metrics,
         counts: counts::Counts::default(),
         log,
@@ -206,40 +210,40 @@
         handle.callers.clone(),
         handle.kill.clone(),
     )));
-    let sweep = sweep(Arc::clone(&handle.front));
-    tokio::spawn(handle.kill.clone().run_until_cancelled_owned(sweep));
+    let cleanup = drop_stale(Arc::clone(&handle.front));
+    tokio::spawn(handle.kill.clone().run_until_cancelled_owned(cleanup));
     let watch = watch_lease(Arc::clone(&handle.front));
     tokio::spawn(handle.stop.clone().run_until_cancelled_owned(watch));
     handle
 }
 
 impl Handle {
-    /// What its callers share.
+    /// State that all callers of the front share.
     pub fn front(&self) -> Arc<Front> {
         Arc::clone(&self.front)
     }
 
-    /// Takes no new callers, lets go of idle ones at once and of each other one
-    /// when its transaction ends. After `limit` those that still run are cut.
-    /// Returns how many were.
+    /// Accepts no new callers, disconnects idle ones at once and every other one
+    /// when its transaction ends. Callers that are still active after `limit` are
+    /// disconnected then. Returns the number of these.
     pub async fn close(&self, limit: Duration) -> usize {
         self.stop.cancel();
         self.front.phase.send_replace(Phase::Closing);
         self.callers.close();
         drop(tokio::time::timeout(limit, self.callers.wait()).await);
-        let cut = self.callers.len();
+        let disconnected = self.callers.len();
         self.kill.cancel();
         self.callers.wait().await;
         self.front.keepers.send_farewell().await;
-        cut
+        disconnected
     }
 
-    /// Breaks the links to keepers, once nothing is asked any more.
+    /// Closes the links to keepers; to be called once no request is open any more.
     pub fn close_links(&self) {
         self.front.keepers.close();
     }
 
-    /// Drops everything at once.
+    /// Drops all callers and links at once, as a crash does.
     pub fn kill(&self) {
         self.stop.cancel();
         self.kill.cancel();
@@ -260,8 +264,8 @@
                 callers.spawn(kill.clone().run_until_cancelled_owned(task));
             }
             Err(error) => {
-                warn!(front.log, "a caller could not be accepted"; "error" => %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                warn!(front.log, "could not accept a caller connection"; "error" => %error);
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -274,7 +278,7 @@
         front.metrics.callers.dec();
         return;
     }
-    // boxed, so that the task of an idle caller stays small
+    // boxed, so that the task of an idle caller stays small in memory
     match Box::pin(login::login(&front, stream)).await {
         Ok(Some(caller)) => {
             front.metrics.callers.inc();
@@ -283,19 +287,19 @@
         }
         Ok(None) => {}
         Err(report) => {
-            debug!(front.log, "a login failed"; "reason" => %report.current_context());
+            debug!(front.log, "caller login failed"; "reason" => %report.current_context());
         }
     }
 }
 
-/// Waits for input of a caller that stands between two requests, or for another
-/// phase; whether the caller stays.
+/// Waits until a caller without an open request sends input or the front changes
+/// its phase. Returns whether the caller is still to be served.
 async fn wait_for_input(
     phase: &mut watch::Receiver<Phase>,
     input: impl Future<Output = Result<(), Report<conn::Disconnect>>>,
 ) -> Result<bool, Report<conn::Disconnect>> {
     if *phase.borrow_and_update() != Phase::Open {
-        // a request that came before the phase was seen is still run
+        // a request that arrived before the phase change was noticed is still run
         return match tokio::time::timeout(Duration::ZERO, input).await {
             Ok(filled) => filled.map(|()| true),
             Err(_nothing) => Ok(false),
@@ -308,13 +312,14 @@
     }
 }
 
-/// Notices when the lease is gone for good, and when one is back.
+/// Sets the phase when the lease has been missing for [`UNLEASED_TIMEOUT`], and
+/// when a lease is held again.
 async fn watch_lease(front: Arc<Front>) {
-    let mut check = tokio::time::interval(LEASE_CHECK);
+    let mut check = tokio::time::interval(LEASE_CHECK_INTERVAL);
     loop {
         check.tick().await;
-        let gone = front.clock.now().since(front.view.lease_until());
-        let next = if gone > UNLEASED { Phase::Unleased } else { Phase::Open };
+        let missing = front.clock.now().since(front.view.lease_until());
+        let next = if missing > UNLEASED_TIMEOUT { Phase::Unleased } else { Phase::Open };
         let changed = front.phase.send_if_modified(|phase| {
             let changes = *phase != Phase::Closing && *phase != next;
             if changes {
@@ -323,15 +328,15 @@
             changes
         });
         if changed {
-            info!(front.log, "the lease is lost or back"; "leased" => next == Phase::Open,
-                "gone_ms" => gone.as_millis() as u64);
+            info!(front.log, "lease was lost or regained"; "leased" => next == Phase::Open,
+                "gone_ms" => missing.as_millis() as u64);
         }
     }
 }
 
-/// Breaks links to entries that are gone, and forgets counts for objectives
-/// that are, as the view changes.
-async fn sweep(front: Arc<Front>) {
+/// Closes links to entries that have left or restarted, and drops counts of
+/// objectives that are no longer declared, whenever the view changes.
+async fn drop_stale(front: Arc<Front>) {
     let mut changes = front.view.changes();
     let mut version = 0;
     while changes.changed().await.is_ok() {
--- a/components/entry/src/front/plain.rs
+++ b/components/entry/src/front/plain.rs
@@ -1,12 +1,12 @@
 //! Callers of plain statements.
 //!
-//! Values and prepared statements stay with the caller's session here, and
-//! travel with each statement that needs them. A begin is answered at once and
-//! reaches a server only with the first statement of its transaction.
+//! Values and prepared statements are kept in the caller's session at the front and
+//! are sent along with each statement that needs them. A begin is answered at once
+//! and is sent to a server only with the first statement of its transaction.
 //!
-//! - `conn`: a caller's connection.
-//! - `caller`: its session, statement by statement.
-//! - `whole`: an answer that is kept until it is over.
+//! - `conn`: the connection of a caller.
+//! - `caller`: the session of a caller, statement by statement.
+//! - `buffer`: buffers an answer until it is complete.
 
 mod buffer;
 mod caller;
@@ -25,16 +25,17 @@
 use caller::Caller;
 use conn::Conn;
 
-/// Longest wait for the first message of a caller.
+/// Time limit for the first message of a caller and its answer.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait of a caller for the answer to its first message.
-const READY_TIME: Duration = Duration::from_millis(500);
+/// Longest delay of the answer to a caller's first message while the entry waits
+/// for its lease.
+const READY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Serves one connection until it ends.
 pub(super) async fn serve(front: Arc<Front>, io: TcpStream, dialect: Arc<dyn Dialect>) {
     if let Err(error) = link::socket::tune(&io) {
-        debug!(front.log, "a caller's socket can't be set up"; "error" => %error);
+        debug!(front.log, "could not set the options of a caller's socket"; "error" => %error);
     }
     let mut conn = Conn::new(io, dialect);
     let started = tokio::time::timeout(START_TIMEOUT, start(&front, &mut conn)).await;
@@ -44,7 +45,8 @@
     conn.close().await;
 }
 
-/// Takes the first message; the database, if there is one of that name.
+/// Reads and answers the first message. Returns the database that the caller named,
+/// or `None` if the connection is to be closed.
 async fn start(front: &Front, conn: &mut Conn) -> Result<Option<Name>, Report<Disconnect>> {
     let ask = conn.next().await?;
     wait_for_lease(front).await;
@@ -61,8 +63,8 @@
         }
     };
     if !front.view.leased(front.clock.now()) {
-        // nothing could be run, and a database may be declared that this entry
-        // has not heard of
+        // without a lease nothing can be run, and the database may be declared in a
+        // newer state that this entry has not received
         conn.put(&Answer::Problem(Problem::Busy));
         return Ok(None);
     }
@@ -74,9 +76,9 @@
     Ok(Some(database))
 }
 
-/// Waits for a lease that ran out a moment ago.
+/// Waits for the renewal of a lease that expired a moment ago.
 async fn wait_for_lease(front: &Front) {
-    let until = front.clock.now() + READY_TIME;
+    let until = front.clock.now() + READY_TIMEOUT;
     loop {
         let now = front.clock.now();
         if front.view.leased(now) || now >= until || !expects_lease(front, now) {
--- a/components/entry/src/front/plain/buffer.rs
+++ b/components/entry/src/front/plain/buffer.rs
@@ -1,4 +1,4 @@
-//! The whole of an answer, kept until it is over.
+//! Buffers an answer until it is complete.
 
 use std::sync::Arc;
 
@@ -11,14 +11,15 @@
 use crate::front::dispatch::Sink;
 use crate::front::link::Link;
 
-/// Keeps the whole of an answer.
+/// Collects the parts of an answer, and forwards none of them.
 #[derive(Debug, Default)]
 pub(super) struct Buffer {
     parts: BytesMut,
 }
 
 impl Buffer {
-    /// What the keeper told, once all parts have come.
+    /// Decodes the answer once all its parts have arrived; `None` if there is none or
+    /// it is invalid.
     pub(super) fn reply(&self) -> Option<Reply> {
         if self.parts.is_empty() {
             return None;
--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -1,4 +1,4 @@
-//! The session of one caller: what it has set, and its statements one by one.
+//! The session of one caller of plain statements.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,47 +23,49 @@
 use crate::front::link::Link;
 use crate::front::{Front, Phase, wait_for_input};
 
-/// Most values, and most prepared statements, of one session.
+/// Maximum number of values, and of prepared statements, in one session.
 const SESSION_ITEMS: usize = 1_024;
 
-/// A caller's transaction.
+/// The transaction of a caller.
 #[derive(Debug)]
 enum Transaction {
-    /// None is open.
+    /// No transaction is open.
     None,
-    /// It was begun here; no statement of it was sent yet.
+    /// The transaction was begun, and no statement of it was sent to a keeper yet.
     Begun(Access),
-    /// It is open at a keeper.
+    /// The transaction is open at a keeper.
     Open { link: Arc<Link>, access: Access, group: Name },
-    /// It failed; the caller has still to end it.
+    /// The transaction failed, and the caller has not ended it yet.
     Failed,
 }
 
+/// A caller with its connection and session.
 pub(super) struct Caller {
     front: Arc<Front>,
     conn: Conn,
     phase: watch::Receiver<Phase>,
     database: Name,
-    /// Number towards keepers.
+    /// Number of the session at keepers.
     number: u64,
-    /// What the session has written.
+    /// Position of the newest write of the session; its reads must show it.
     floor: Option<Mark>,
     values: BTreeMap<Bytes, Bytes>,
     prepared: BTreeMap<Bytes, (Access, Bytes)>,
     transaction: Transaction,
 }
 
-/// A statement that a server is to run.
+/// A statement to run at a server.
 struct Work {
     task: Task,
     access: Access,
-    /// Whether it commits: a commit, or a write outside of a transaction.
+    /// Whether the statement may commit: a commit, or a write outside a transaction.
     commits: bool,
+    /// Whether the statement ends the transaction.
     ends: bool,
 }
 
 impl Caller {
-    /// Begins a session on a database.
+    /// Makes the session of a caller on a database.
     pub(super) fn new(front: Arc<Front>, conn: Conn, database: Name) -> Self {
         Self {
             number: front.next_session_number(),
@@ -78,18 +80,18 @@
         }
     }
 
-    /// Serves the caller until it is gone or the process stops; the connection
-    /// is left to be closed.
+    /// Serves the caller until it disconnects, or the front stops or loses its lease.
+    /// Returns the connection, which the caller of this method is to close.
     pub(super) async fn serve(mut self) -> Conn {
-        if let Err(report) = self.steps().await {
+        if let Err(report) = self.serve_messages().await {
             let reason = report.current_context();
-            debug!(self.front.log, "a caller is gone"; "reason" => %reason);
+            debug!(self.front.log, "caller disconnected"; "reason" => %reason);
         }
-        self.leave().await;
+        self.release_session().await;
         self.conn
     }
 
-    async fn steps(&mut self) -> Result<(), Report<Disconnect>> {
+    async fn serve_messages(&mut self) -> Result<(), Report<Disconnect>> {
         loop {
             let Some(ask) = self.next().await? else {
                 return self.conn.flush().await;
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The next message, or `None` when the session is to end.
+    /// Returns the next message, or `None` if the session is to end.
     async fn next(&mut self) -> Result<Option<Ask>, Report<Disconnect>> {
         loop {
             match self.conn.take() {
@@ -118,7 +120,7 @@
             }
             self.conn.flush().await?;
             let idle = matches!(self.transaction, Transaction::None);
-            if !(idle && self.conn.is_quiet()) {
+            if !(idle && self.conn.is_input_empty()) {
                 self.conn.fill().await?;
                 continue;
             }
@@ -134,55 +136,55 @@
             return self.fail(Problem::Malformed).await;
         };
         if matches!(self.transaction, Transaction::Failed) {
-            return self.ended(&statement).await;
+            return self.answer_failed(&statement).await;
         }
         match statement {
             Statement::Begin(access) => match self.transaction {
                 Transaction::None => {
                     self.transaction = Transaction::Begun(access);
-                    self.done();
+                    self.complete();
                 }
                 _ => return self.fail(Problem::Malformed).await,
             },
             Statement::Rollback => {
-                self.leave().await;
+                self.release_session().await;
                 self.transaction = Transaction::None;
-                self.done();
+                self.complete();
             }
             Statement::Set { name, value } => {
                 if self.values.len() >= SESSION_ITEMS && !self.values.contains_key(&name) {
                     return self.fail(Problem::Malformed).await;
                 }
                 self.values.insert(name, value);
-                self.done();
+                self.complete();
             }
             Statement::Prepare { name, access, shape } => {
                 if self.prepared.len() >= SESSION_ITEMS && !self.prepared.contains_key(&name) {
                     return self.fail(Problem::Malformed).await;
                 }
                 self.prepared.insert(name, (access, shape));
-                self.done();
+                self.complete();
             }
             Statement::Deallocate { name } => {
                 if self.prepared.remove(&name).is_none() {
                     return self.fail(Problem::Unprepared).await;
                 }
-                self.done();
+                self.complete();
             }
             Statement::Commit if matches!(self.transaction, Transaction::None) => {
                 return self.fail(Problem::Malformed).await;
             }
             Statement::Commit => {
                 let access = self.access();
-                let work = self.work(id, text, None, access);
+                let work = self.build_work(id, text, None, access);
                 return self.run(Work { commits: true, ends: true, ..work }).await;
             }
             Statement::Read => {
-                let work = self.work(id, text, None, Access::Read);
+                let work = self.build_work(id, text, None, Access::Read);
                 return self.run(work).await;
             }
             Statement::Write => {
-                let work = self.work(id, text, None, Access::Write);
+                let work = self.build_work(id, text, None, Access::Write);
                 return self.run(work).await;
             }
             Statement::Execute { name, arguments } => {
@@ -191,14 +193,14 @@
                 };
                 let writes = access == Access::Write;
                 let execute = Execute { writes, shape, arguments };
-                let work = self.work(id, Bytes::new(), Some(execute), access);
+                let work = self.build_work(id, Bytes::new(), Some(execute), access);
                 return self.run(work).await;
             }
         }
         self.conn.flush().await
     }
 
-    /// What the open transaction may do.
+    /// Access mode of the open transaction.
     fn access(&self) -> Access {
         match &self.transaction {
             Transaction::Begun(access) | Transaction::Open { access, .. } => *access,
@@ -206,7 +208,7 @@
         }
     }
 
-    fn work(&self, id: Bytes, text: Bytes, execute: Option<Execute>, access: Access) -> Work {
+    fn build_work(&self, id: Bytes, text: Bytes, execute: Option<Execute>, access: Access) -> Work {
         let begin = match self.transaction {
             Transaction::Begun(Access::Read) => Begin::Read,
             Transaction::Begun(Access::Write) => Begin::Write,
@@ -215,41 +217,41 @@
         let value =
             |(name, value): (&Bytes, &Bytes)| Value { name: name.clone(), value: value.clone() };
         let values = self.values.iter().map(value).collect();
-        let alone = matches!(self.transaction, Transaction::None);
+        let is_autocommit = matches!(self.transaction, Transaction::None);
         Work {
             task: Task { id, text, execute, values, begin: begin as i32 },
-            access: if alone { access } else { self.access() },
-            commits: alone && access == Access::Write,
+            access: if is_autocommit { access } else { self.access() },
+            commits: is_autocommit && access == Access::Write,
             ends: false,
         }
     }
 
-    /// Answers a statement within a transaction that failed.
-    async fn ended(&mut self, statement: &Statement) -> Result<(), Report<Disconnect>> {
+    /// Answers a statement in a failed transaction.
+    async fn answer_failed(&mut self, statement: &Statement) -> Result<(), Report<Disconnect>> {
         match statement {
             Statement::Rollback => {
                 self.transaction = Transaction::None;
-                self.done();
+                self.complete();
             }
             Statement::Commit => {
                 self.transaction = Transaction::None;
                 self.conn.put(&Answer::Problem(Problem::Aborted));
-                self.ready();
+                self.write_ready();
             }
             _ => {
                 self.conn.put(&Answer::Problem(Problem::Malformed));
-                self.ready();
+                self.write_ready();
             }
         }
         self.conn.flush().await
     }
 
-    fn done(&mut self) {
+    fn complete(&mut self) {
         self.conn.put(&Answer::Complete(None));
-        self.ready();
+        self.write_ready();
     }
 
-    fn ready(&mut self) {
+    fn write_ready(&mut self) {
         let status = match self.transaction {
             Transaction::None => Status::Idle,
             Transaction::Begun(_) | Transaction::Open { .. } => Status::Open,
@@ -258,26 +260,27 @@
         self.conn.put(&Answer::Ready(status));
     }
 
-    /// Answers with an error; a transaction that is open fails with it.
+    /// Answers with an error and fails the open transaction, if there is one.
     async fn fail(&mut self, problem: Problem) -> Result<(), Report<Disconnect>> {
         self.conn.put(&Answer::Problem(problem));
-        self.leave().await;
+        self.release_session().await;
         if !matches!(self.transaction, Transaction::None) {
             self.transaction = Transaction::Failed;
         }
-        self.ready();
+        self.write_ready();
         self.conn.flush().await
     }
 
-    /// Makes the keeper forget the transaction, if one is open there.
-    async fn leave(&mut self) {
+    /// Tells the keeper to roll back the transaction and forget the session, if a
+    /// transaction is open there. The session continues under a new number.
+    async fn release_session(&mut self) {
         let Transaction::Open { link, .. } = &self.transaction else { return };
         let caller = self.number;
         link.send(ask::Body::Leave(Leave { caller })).await;
         self.number = self.front.next_session_number();
     }
 
-    /// Runs a statement and answers it.
+    /// Runs a statement at a keeper and answers the caller.
     async fn run(&mut self, work: Work) -> Result<(), Report<Disconnect>> {
         let database = |state: &control::State| {
             let found = state.declarations.databases.get(self.database.as_str()).cloned();
@@ -297,7 +300,7 @@
         };
         let started = self.front.clock.now();
         let deadline = Duration::from_millis(declared.limits.deadline_ms);
-        let run = self.message(&work, &declared, &group, link.is_some(), version);
+        let run = self.build_request(&work, &declared, &group, link.is_some(), version);
         let front = Arc::clone(&self.front);
         let class = if work.access == Access::Read { Class::Read } else { Class::Write };
         let mut dispatch = Dispatch {
@@ -319,12 +322,13 @@
             front.metrics.record_cycle(end);
         }
         let objective = Duration::from_millis(declared.objective_ms);
-        self.tell(&work, &attempt, started, &group, objective, version);
-        self.settle(&work, &attempt, reply, link, group).await
+        self.record(&work, &attempt, started, &group, objective, version);
+        self.finish(&work, &attempt, reply, link, group).await
     }
 
-    /// One line for a statement that was not done, or was late; each is counted.
-    fn tell(
+    /// Records the latency of a statement, and logs the statement if it was not done or
+    /// exceeded the objective.
+    fn record(
         &self,
         work: &Work,
         attempt: &Attempt,
@@ -357,7 +361,7 @@
         answered.log(&self.front.log);
     }
 
-    fn message(
+    fn build_request(
         &self,
         work: &Work,
         declared: &Database,
@@ -389,8 +393,8 @@
         }
     }
 
-    /// Answers as an attempt ended, and notes what that means for the session.
-    async fn settle(
+    /// Writes the answer for the result of an attempt, and updates the session.
+    async fn finish(
         &mut self,
         work: &Work,
         attempt: &Attempt,
@@ -403,7 +407,7 @@
             _ => None,
         };
         let (Some(end), Some(reply)) = (done, reply) else {
-            return self.lose(work, attempt, link, group).await;
+            return self.fail_request(work, attempt, link, group).await;
         };
         for row in reply.rows {
             self.conn.put(&Answer::Row(row));
@@ -412,18 +416,18 @@
         match (reply.complete, reply.error) {
             (Some(complete), _) => self.conn.put(&Answer::Complete(Some(complete))),
             (None, Some(error)) => self.conn.put(&Answer::Error(error)),
-            (None, None) => return self.lose(work, attempt, link, group).await,
+            (None, None) => return self.fail_request(work, attempt, link, group).await,
         }
         if work.commits && !failed {
             self.floor = self.floor.max(end.mark.map(Mark::from));
         }
-        self.follow(work, end, failed, link, group).await;
-        self.ready();
+        self.update_transaction(work, end, failed, link, group).await;
+        self.write_ready();
         self.conn.flush().await
     }
 
-    /// Takes over where the transaction stands after a statement that ran.
-    async fn follow(
+    /// Updates the transaction after a statement that ran.
+    async fn update_transaction(
         &mut self,
         work: &Work,
         end: &End,
@@ -431,8 +435,8 @@
         link: Option<Arc<Link>>,
         group: Name,
     ) {
-        let alone = matches!(self.transaction, Transaction::None);
-        if alone {
+        let is_autocommit = matches!(self.transaction, Transaction::None);
+        if is_autocommit {
             return;
         }
         let access = self.access();
@@ -442,14 +446,14 @@
         }
         if let (b'E', Some(link)) = (end.status as u8, link) {
             self.transaction = Transaction::Open { link, access, group };
-            self.leave().await;
+            self.release_session().await;
         }
         let over = work.ends && !failed;
         self.transaction = if over { Transaction::None } else { Transaction::Failed };
     }
 
-    /// Tells of a statement that did not run to its end.
-    async fn lose(
+    /// Writes the error of a statement that is not done, and drops its transaction.
+    async fn fail_request(
         &mut self,
         work: &Work,
         attempt: &Attempt,
@@ -458,34 +462,35 @@
     ) -> Result<(), Report<Disconnect>> {
         let problem = problem(work, attempt);
         self.conn.put(&Answer::Problem(problem));
-        let alone = matches!(self.transaction, Transaction::None);
-        if let (Some(link), false) = (link, alone) {
+        let is_autocommit = matches!(self.transaction, Transaction::None);
+        if let (Some(link), false) = (link, is_autocommit) {
             let access = self.access();
             self.transaction = Transaction::Open { link, access, group };
-            self.leave().await;
+            self.release_session().await;
         } else if matches!(attempt, Attempt::Broken { .. }) {
             self.number = self.front.next_session_number();
         }
-        self.transaction = if alone || work.ends { Transaction::None } else { Transaction::Failed };
-        self.ready();
+        self.transaction =
+            if is_autocommit || work.ends { Transaction::None } else { Transaction::Failed };
+        self.write_ready();
         self.conn.flush().await
     }
 }
 
-/// What a caller is told of a statement that did not run to its end.
+/// Returns the error for a statement that is not done.
 ///
-/// What would have been committed only by a later commit is surely undone.
+/// Writes that only a later commit would have committed are certainly rolled back.
 fn problem(work: &Work, attempt: &Attempt) -> Problem {
-    let late = |end: &End| end.reason() == Reason::Deadline;
-    // what never left this process was not committed
-    let unsure = work.commits && *attempt != Attempt::NotSent;
+    let is_late = |end: &End| end.reason() == Reason::Deadline;
+    // a request that was not sent has not committed anything
+    let may_have_committed = work.commits && *attempt != Attempt::NotSent;
     match attempt {
         Attempt::Ended { end, .. } if end.outcome() == Outcome::NotRun => match end.reason() {
             Reason::TransactionGone => Problem::Aborted,
             _ => Problem::Busy,
         },
-        Attempt::Ended { end, .. } if unsure && late(end) => Problem::Timeout,
-        _ if unsure => Problem::Unknown,
+        Attempt::Ended { end, .. } if may_have_committed && is_late(end) => Problem::Timeout,
+        _ if may_have_committed => Problem::Unknown,
         _ => Problem::Aborted,
     }
 }
--- a/components/entry/src/front/plain/conn.rs
+++ b/components/entry/src/front/plain/conn.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: bytes in, messages out.
+//! Connection of a caller of plain statements, with buffers for input and output.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 
 use crate::front::conn::{Disconnect, linger};
 
-/// Longest time that a caller may take to accept an answer.
+/// Time limit for one write to a caller.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Room for input in bytes.
+/// Initial capacity of the input buffer, and capacity reserved for a read, in bytes.
 const INPUT_BYTES: usize = 1 << 10;
 
-/// A caller's connection.
+/// Connection of a caller of plain statements.
 pub(super) struct Conn {
     dialect: Arc<dyn Dialect>,
     io: TcpStream,
@@ -25,23 +25,24 @@
 }
 
 impl Conn {
-    /// Takes a connection over.
+    /// Wraps a connection, with empty buffers.
     pub(super) fn new(io: TcpStream, dialect: Arc<dyn Dialect>) -> Self {
         let (input, output) = (BytesMut::with_capacity(INPUT_BYTES), BytesMut::new());
         Self { dialect, io, input, output }
     }
 
-    /// The next message that has come as a whole, if one has.
+    /// Decodes the next buffered message, if it is complete.
     pub(super) fn take(&mut self) -> Result<Option<Ask>, Report<Malformed>> {
         self.dialect.ask(&mut self.input)
     }
 
-    /// Whether nothing of a message has come yet.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// Whether no input is buffered.
+    pub(super) fn is_input_empty(&self) -> bool {
         self.input.is_empty()
     }
 
-    /// The next message; `None` where the bytes are none.
+    /// Returns the next message, and reads until it is complete; `None` if the input is
+    /// malformed.
     pub(super) async fn next(&mut self) -> Result<Option<Ask>, Report<Disconnect>> {
         loop {
             match self.take() {
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Reads what has come. Safe to drop while it waits.
+    /// Reads available bytes into the input buffer, and waits until there are some.
+    /// This method is cancel safe.
     pub(super) async fn fill(&mut self) -> Result<(), Report<Disconnect>> {
         self.input.reserve(INPUT_BYTES);
         match self.io.read_buf(&mut self.input).await.change_context(Disconnect::Io)? {
@@ -74,7 +76,7 @@
         written.change_context(Disconnect::Timeout)?.change_context(Disconnect::Io)
     }
 
-    /// Sends what waits and closes.
+    /// Sends buffered answers and closes the connection.
     pub(super) async fn close(mut self) {
         if self.flush().await.is_ok() {
             linger(&mut self.io).await;
--- a/components/entry/src/front/run.rs
+++ b/components/entry/src/front/run.rs
@@ -1,4 +1,4 @@
-//! One cycle of a PostgreSQL caller at a keeper, and what the caller is told.
+//! Runs one cycle of a PostgreSQL caller at a keeper and writes its answer.
 
 use std::sync::Arc;
 
@@ -20,29 +20,30 @@
 use super::link::Link;
 use super::session::Transaction;
 
-/// Time within which a lease is expected to move from one keeper to another.
-const LEASE_MOVE: Duration = Duration::from_secs(1);
+/// Time in which a cycle may be retried: a lease is expected to move from one keeper
+/// to another within it.
+const RETRY_WINDOW: Duration = Duration::from_secs(1);
 
 /// A cycle to run.
 #[derive(Debug)]
 pub struct Work {
-    /// The messages and what is due.
+    /// Messages for the backend server, and the answers that they lead to.
     pub plan: Plan,
-    /// How it is to be run.
+    /// How the cycle is to be run.
     pub admission: Admission,
-    /// Whether it may commit a transaction.
+    /// Whether the cycle may commit a transaction.
     pub commits: bool,
 }
 
 impl Caller {
-    /// Runs a cycle and writes its answer; whether that was an error.
+    /// Runs a cycle and writes its answer. Returns whether the cycle failed.
     pub(super) async fn run(&mut self, work: Work) -> Result<bool, Report<Disconnect>> {
         let started = self.front.clock.now();
         let open = match &self.session.transaction {
             Transaction::Open { link, .. } => Some(Arc::clone(link)),
             Transaction::None | Transaction::RolledBack => None,
         };
-        let run = self.message(&work, open.is_some());
+        let run = self.build_request(&work, open.is_some());
         let front = Arc::clone(&self.front);
         let mut dispatch = Dispatch {
             front: &front,
@@ -50,7 +51,7 @@
             class: work.admission.rule.class,
             started,
             deadline: work.admission.deadline,
-            retry_window: LEASE_MOVE,
+            retry_window: RETRY_WINDOW,
             run,
             sink: Answer {
                 conn: &mut self.conn,
@@ -68,11 +69,12 @@
         match result {
             Ok((attempt, link)) => {
                 self.record(&work, &attempt, started);
-                let done = self.settle(&work, attempt, link, started, &trace).await;
+                let done = self.finish(&work, attempt, link, started, &trace).await;
                 Ok(failed || !done)
             }
             Err(report) => {
-                // the caller is gone, and what it ran must not stay
+                // the caller has disconnected, so its running request and its
+                // transaction must not stay at the keeper
                 self.session.transaction = Transaction::None;
                 if let Some((link, _)) = running {
                     self.release_session(&link).await;
@@ -82,10 +84,10 @@
         }
     }
 
-    fn message(&self, work: &Work, within: bool) -> Run {
+    fn build_request(&self, work: &Work, within: bool) -> Run {
         let (session, rule) = (&self.session, &work.admission.rule);
         let floor = session.floors.get(session.group.as_str());
-        // within a transaction the class of one statement says nothing
+        // the class of one statement does not hold for its whole transaction
         let class = if within { Class::Write } else { rule.class };
         Run {
             request: 0,
@@ -107,8 +109,9 @@
         }
     }
 
-    /// Takes the end of the last attempt; whether the request is done.
-    async fn settle(
+    /// Applies the result of the last attempt to the session and writes its error, if
+    /// there is one. Returns whether the request is done.
+    async fn finish(
         &mut self,
         work: &Work,
         attempt: Attempt,
@@ -117,22 +120,29 @@
         trace: &str,
     ) -> bool {
         let within = self.session.transaction.is_open();
-        self.keep(work, attempt.own_answers());
+        self.apply_prepared(work, attempt.own_answers());
         if let Attempt::Ended { end, .. } = &attempt {
             self.front.metrics.record_cycle(end);
         }
         let Some(problem) = attempt::problem(&attempt, within, work.commits) else {
-            self.done(work, &attempt, link, within);
+            self.update_session(work, &attempt, link, within);
             return true;
         };
-        self.tell(work, attempt.reason(), &problem, started, trace);
+        self.log_failure(work, attempt.reason(), &problem, started, trace);
         let held = link.filter(|_| attempt::is_session_held(&attempt, within));
         self.fail_request(work, &problem, held, within).await;
         false
     }
 
-    /// One line for a cycle that was not done.
-    fn tell(&self, work: &Work, reason: Reason, problem: &Problem, started: Instant, trace: &str) {
+    /// Logs a cycle that was not done.
+    fn log_failure(
+        &self,
+        work: &Work,
+        reason: Reason,
+        problem: &Problem,
+        started: Instant,
+        trace: &str,
+    ) {
         let now = self.front.clock.now();
         let group = &self.session.group;
         let read = work.admission.rule.class == Class::Read;
@@ -159,7 +169,8 @@
         let read = rule.class == Class::Read;
         let is_done = |end: &End| end.outcome() == Outcome::Done;
         let done = matches!(attempt, Attempt::Ended { end, .. } if is_done(end));
-        // a read that accepts an age saw one within it, any other a fresh state
+        // a read that accepts a bounded age saw data within that bound; any other
+        // read saw current data
         let age = (read && done).then_some(rule.age);
         let event = burn::Event { latency: now.since(started), done, write: !read, age };
         let service = &self.session.service;
@@ -169,21 +180,28 @@
         }
     }
 
-    fn keep(&mut self, work: &Work, own: usize) {
+    fn apply_prepared(&mut self, work: &Work, own: usize) {
         for change in &work.plan.changes[..own.min(work.plan.changes.len())] {
             self.session.prepared.apply(change);
         }
     }
 
-    /// Takes what an end that is done says of the session.
-    fn done(&mut self, work: &Work, attempt: &Attempt, link: Option<Arc<Link>>, within: bool) {
+    /// Updates floors and transaction status of the session after a request that is
+    /// done.
+    fn update_session(
+        &mut self,
+        work: &Work,
+        attempt: &Attempt,
+        link: Option<Arc<Link>>,
+        within: bool,
+    ) {
         let Attempt::Ended { end, .. } = attempt else {
             return;
         };
         if let Some(mark) = end.mark {
-            let rose = self.session.floors.raise(&self.session.group, mark.into());
+            let raised = self.session.floors.raise(&self.session.group, mark.into());
             let wrote = work.admission.rule.class != Class::Read || within;
-            if rose && wrote && !end.replica {
+            if raised && wrote && !end.replica {
                 self.report_token();
             }
         }
@@ -195,10 +213,10 @@
         };
     }
 
-    /// Tells of a request that did not end well, and forgets its transaction.
+    /// Writes the error of a request that is not done, and drops its transaction.
     ///
-    /// A transaction that is not over for the caller stays failed until the
-    /// caller ends it, so that no later statement of it runs by itself.
+    /// A transaction that the caller has not ended stays failed until the caller ends
+    /// it, so that no later statement of it runs outside a transaction.
     async fn fail_request(
         &mut self,
         work: &Work,
@@ -214,7 +232,8 @@
             if within && !work.commits { Transaction::RolledBack } else { Transaction::None };
     }
 
-    /// Makes a keeper forget the session; it goes on under another number.
+    /// Tells a keeper to roll back and forget the session, which continues under a new
+    /// number.
     pub(super) async fn release_session(&mut self, link: &Link) {
         let caller = self.session.number;
         link.send(ask::Body::Leave(Leave { caller })).await;
@@ -222,7 +241,7 @@
     }
 }
 
-/// Passes an answer on to a caller as it comes.
+/// Forwards an answer to the caller as it arrives.
 struct Answer<'a> {
     conn: &'a mut Conn,
     cancel: &'a cancels::Session,
--- a/components/entry/src/front/session.rs
+++ b/components/entry/src/front/session.rs
@@ -1,4 +1,4 @@
-//! What the front keeps of one caller between two cycles.
+//! State of a caller that the front keeps between two cycles.
 
 use std::sync::Arc;
 
@@ -10,25 +10,25 @@
 use super::cancels;
 use super::link::Link;
 
-/// A caller's transaction.
+/// The transaction of a caller.
 #[derive(Debug, Default)]
 pub enum Transaction {
-    /// None is open.
+    /// No transaction is open.
     #[default]
     None,
-    /// One is open at a keeper.
+    /// A transaction is open at a keeper.
     Open {
-        /// Link to that keeper.
+        /// Link to the keeper that holds the transaction.
         link: Arc<Link>,
-        /// Whether a statement of it failed.
+        /// Whether a statement of the transaction failed.
         failed: bool,
     },
-    /// It was rolled back; the caller has still to end it.
+    /// The transaction was rolled back, and the caller has not ended it yet.
     RolledBack,
 }
 
 impl Transaction {
-    /// The status as a caller is told.
+    /// The transaction status to report to the caller.
     pub fn status(&self) -> Status {
         match self {
             Self::None => Status::Idle,
@@ -37,31 +37,33 @@
         }
     }
 
-    /// Whether one is open at a keeper.
+    /// Whether the transaction is open at a keeper.
     pub fn is_open(&self) -> bool {
         matches!(self, Self::Open { .. })
     }
 }
 
-/// One caller's session.
+/// The session of a caller.
 #[derive(Debug)]
 pub struct Session {
-    /// Service that it belongs to.
+    /// Service that the caller belongs to.
     pub service: Name,
-    /// Database group that it uses.
+    /// Database group that the session uses.
     pub group: Name,
-    /// Name that the caller gave itself.
+    /// Value of `application_name`, as the caller set it.
     pub application: String,
-    /// What it has written or seen.
+    /// Newest position that the session has written or seen in each group; reads must
+    /// not show older data.
     pub floors: Floors,
-    /// Statements that it prepared.
+    /// Prepared statements of the session.
     pub prepared: Prepared,
-    /// Its transaction.
+    /// Transaction of the session.
     pub transaction: Transaction,
-    /// Number towards keepers; another one after each [`Session::renumber`].
+    /// Number of the session at keepers, replaced by a new one each time that a keeper
+    /// is told to forget the session or is lost.
     pub number: u64,
-    /// Number of its cycles so far.
+    /// Number of cycles that the session has begun.
     pub cycles: u64,
-    /// How it can be cancelled.
+    /// Registration of the session for cancel requests.
     pub cancel: cancels::Session,
 }
--- a/components/entry/src/front/tls.rs
+++ b/components/entry/src/front/tls.rs
@@ -10,42 +10,42 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use tokio_rustls::TlsAcceptor;
 
-/// Files of a certificate and its key, in PEM.
+/// Paths of a certificate and its private key, in PEM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tls {
-    /// The certificate, and those that vouch for it.
+    /// Certificate chain, from the server's own certificate to the intermediate ones.
     pub cert: PathBuf,
-    /// Its private key.
+    /// Private key of the certificate.
     pub key: PathBuf,
 }
 
-/// A certificate or key that can't be used.
+/// Why a certificate or a key can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
     /// A file can't be read.
     File {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// Certificate and key don't fit.
+    /// The certificate and the private key are invalid or don't match.
     Mismatch,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::File { path } => write!(f, "no PEM could be read from {}", path.display()),
-            Self::Mismatch => f.write_str("certificate and key don't fit"),
+            Self::File { path } => write!(f, "could not read PEM from {}", path.display()),
+            Self::Mismatch => f.write_str("certificate and private key are invalid or don't match"),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// Loads a certificate and its key.
+/// Loads a certificate chain and its private key.
 ///
 /// # Errors
-/// Each [`Failure`].
+/// [`Failure::File`] or [`Failure::Mismatch`].
 pub fn load(tls: &Tls) -> Result<TlsAcceptor, Report<Failure>> {
     let file = |path: &PathBuf| Failure::File { path: path.clone() };
     let certs = CertificateDer::pem_file_iter(&tls.cert).change_context_lazy(|| file(&tls.cert))?;
--- a/components/entry/tests/fake/mod.rs
+++ b/components/entry/tests/fake/mod.rs
@@ -1,5 +1,6 @@
-//! A keeper over a model of one backend connection, and a front that asks it.
-#![allow(dead_code, reason = "each test uses a part")]
+//! Fake keepers that run requests on a model of a backend connection, and a front
+//! that uses them.
+#![allow(dead_code, reason = "each test uses only some of the items")]
 
 pub mod raw;
 
@@ -21,39 +22,43 @@
 
 use crate::server::Server;
 
-/// What a keeper does with the next request, in place of running it.
+/// Failure that a keeper injects into the next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Says that it was not run.
+    /// Reports that the request was not run.
     NotRun(Reason),
-    /// Says that the outcome is unknown.
+    /// Reports that the outcome is unknown.
     Unknown(Reason),
-    /// Says that the keeper stops, and runs it.
+    /// Announces that the keeper is stopping, and runs the request.
     Closing,
-    /// Breaks the link.
+    /// Closes the link without running the request.
     Break,
-    /// Runs it and breaks the link.
+    /// Runs the request and closes the link without an answer.
     RunAndBreak,
-    /// Sends a part twice.
+    /// Sends a part with a sequence number that was already used.
     Repeat,
-    /// Stands still from then on, with all that comes.
+    /// Stops processing this and all later messages of the link, pings included.
     Freeze,
-    /// Runs it late.
+    /// Runs the request after a delay.
     Late(Duration),
-    /// Answers this many bytes in rows.
+    /// Answers with rows of at least this many bytes.
     Large(usize),
 }
 
-/// What keepers saw and are to do.
+/// State that keepers share: the messages they received, and the faults to inject.
 #[derive(Debug, Default)]
 pub struct Shared {
+    /// Faults to inject into the next requests, in order.
     pub faults: Mutex<VecDeque<Fault>>,
+    /// Messages received so far, without pings.
     pub asks: Mutex<Vec<ask::Body>>,
+    /// Backend connection without a transaction.
     server: Mutex<Server>,
-    /// Connections within a transaction, by caller.
+    /// Backend connections with an open transaction, by session number.
     pub pinned: Mutex<HashMap<u64, Server>>,
-    /// How often each payload ran.
+    /// How often each payload was run.
     pub run_counts: Mutex<HashMap<bytes::Bytes, usize>>,
+    /// Position of the last mark that was given out.
     pub position: Mutex<u64>,
 }
 
@@ -100,7 +105,7 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-/// Starts a keeper; returns where it listens.
+/// Starts a keeper and returns its address.
 pub async fn keeper(own: &str, shared: Arc<Shared>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -217,7 +222,7 @@
     send(answer::Body::End(end));
 }
 
-/// A front and the keepers that it asks.
+/// A front with its address, the state of its keepers and its view.
 pub struct Bench {
     pub front: front::Handle,
     pub address: SocketAddr,
@@ -270,7 +275,7 @@
     state
 }
 
-/// Starts a front with two keepers that share one backend connection.
+/// Starts a front with two keepers that share one model of a backend connection.
 pub async fn bench(users: Option<&str>) -> Bench {
     let shared = Arc::new(Shared::default());
     let first = keeper("one", Arc::clone(&shared)).await;
@@ -278,12 +283,13 @@
     bench_with(users, Duration::from_mins(10), shared, &[("one", first), ("two", second)]).await
 }
 
-/// Files of a certificate that vouches for itself, and its key.
+/// Paths of a self-signed certificate and its key.
 pub fn tls() -> front::tls::Tls {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fake");
     front::tls::Tls { cert: folder.join("cert.pem"), key: folder.join("key.pem") }
 }
 
+/// Starts a front with these keepers and a lease that expires after `lease`.
 pub async fn bench_with(
     users: Option<&str>,
     lease: Duration,
@@ -334,7 +340,7 @@
     Ok(client)
 }
 
-/// The rows of a simple query, as text.
+/// Rows of a simple query: the first column, as text.
 pub async fn rows(
     client: &tokio_postgres::Client,
     query: &str,
@@ -347,6 +353,7 @@
     Ok(messages.iter().filter_map(row).collect())
 }
 
+/// SQLSTATE of the error in a result, which must be one.
 pub fn code<T: std::fmt::Debug>(result: Result<T, tokio_postgres::Error>) -> String {
-    result.unwrap_err().code().expect("the server told of an error").code().to_owned()
+    result.unwrap_err().code().expect("the error has an SQLSTATE").code().to_owned()
 }
--- a/components/entry/tests/fake/raw.rs
+++ b/components/entry/tests/fake/raw.rs
@@ -1,4 +1,4 @@
-//! A session that a test speaks byte by byte.
+//! A client that sends messages as bytes, for tests of the wire protocol.
 
 use base::prelude::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -28,7 +28,7 @@
     message(b'B', &[b"\0", name.as_bytes(), b"\0\0\0\0\0\0\0"].concat())
 }
 
-/// Messages that run a text.
+/// Messages of the extended protocol that run a statement.
 pub fn statement(text: &str) -> Vec<u8> {
     [parse("", text), bind(""), EXECUTE.to_vec()].concat()
 }
@@ -37,7 +37,7 @@
     message(b'D', &[b"S", name.as_bytes(), b"\0"].concat())
 }
 
-/// A session that a test speaks byte by byte.
+/// A connection on which a test sends messages as bytes.
 pub struct Client {
     stream: TcpStream,
     input: bytes::BytesMut,
@@ -47,12 +47,12 @@
     pub async fn connect(address: std::net::SocketAddr) -> Self {
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(&startup()).await.unwrap();
-        let mut raw = Self { stream, input: bytes::BytesMut::new() };
-        while raw.next().await != b'Z' {}
-        raw
+        let mut client = Self { stream, input: bytes::BytesMut::new() };
+        while client.next().await != b'Z' {}
+        client
     }
 
-    /// Kind of the next message that is no setting.
+    /// Kind of the next message that is not a `ParameterStatus`.
     async fn next(&mut self) -> u8 {
         loop {
             if let Some(frame) = pg::frame::take(&mut self.input).unwrap() {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends messages and returns the kinds of what is answered at once.
+    /// Sends messages and returns the kinds of the next `answers` messages.
     pub async fn exchange(&mut self, messages: &[&[u8]], answers: usize) -> String {
         self.stream.write_all(&messages.concat()).await.unwrap();
         let mut kinds = String::new();
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -1,4 +1,4 @@
-//! A front between callers and keepers.
+//! A front between PostgreSQL callers and fake keepers.
 
 #[path = "../../pg/tests/server/mod.rs"]
 mod server;
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_session_goes_on_elsewhere_by_its_token() {
+async fn a_session_token_is_valid_at_another_entry() {
     let bench = bench(None).await;
     let client = bench.connect().await;
     rows(&client, "update t").await.unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn only_a_proved_not_run_goes_to_the_other_keeper() {
+async fn only_a_request_proved_not_run_is_retried_at_the_other_keeper() {
     let bench = bench(None).await;
     let client = bench.connect().await;
     for reason in [Reason::WrongKeeper, Reason::Closing, Reason::Unavailable] {
@@ -127,15 +127,15 @@
 }
 
 #[tokio::test]
-async fn a_keeper_that_does_not_answer_is_passed_over() {
+async fn a_keeper_that_does_not_answer_is_skipped() {
     let shared = std::sync::Arc::default();
-    // it accepts and says nothing
+    // accepts connections and never answers the handshake
     let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = silent.local_addr().unwrap();
     let other = fake::keeper("two", std::sync::Arc::clone(&shared)).await;
     let keepers = [("one", address), ("two", other)];
     let bench = fake::bench_with(None, Duration::from_mins(10), shared, &keepers).await;
-    // whichever keeper is the first choice of each
+    // the silent keeper may be the first choice of any of these callers
     for _ in 0..4 {
         let client = bench.connect().await;
         assert_eq!(rows(&client, "update t").await.unwrap(), ["update t"]);
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn a_keeper_that_stops_gets_nothing_new_after_the_farewell() {
+async fn a_stopping_keeper_gets_no_new_request_after_the_farewell() {
     let shared = [(); 2].map(|()| std::sync::Arc::new(fake::Shared::default()));
     let first = fake::keeper("one", std::sync::Arc::clone(&shared[0])).await;
     let second = fake::keeper("two", std::sync::Arc::clone(&shared[1])).await;
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn a_declared_read_leaves_a_keeper_that_stands_still_long_before_its_deadline() {
+async fn a_declared_read_leaves_an_unresponsive_keeper_long_before_its_deadline() {
     let bench = bench(None).await;
     let client = bench.connect().await;
     bench.shared.inject(Fault::Freeze);
@@ -282,7 +282,7 @@
 }
 
 #[tokio::test]
-async fn large_answers_are_given_credit() {
+async fn large_answers_are_granted_credit() {
     let bench = bench(None).await;
     let client = bench.connect().await;
     bench.shared.inject(Fault::Large(200 << 10));
@@ -291,10 +291,11 @@
     assert!(asks.iter().any(|body| matches!(body, ask::Body::Credit(_))));
 }
 
-/// Runs statements against keepers that fail as drawn; what the caller is told
-/// of each must be true of how often it ran.
+/// Runs statements against keepers with random faults. The outcome that the caller
+/// gets must agree with how often the statement ran: once if it succeeded, never if
+/// it was reported as not run.
 #[tokio::test]
-async fn what_a_caller_is_told_is_what_ran() {
+async fn the_reported_outcome_matches_what_ran() {
     let schedules = std::env::var("TREFOIL_FUZZ_SCHEDULES");
     let schedules: u64 = schedules.map_or(100, |text| text.parse().unwrap());
     let bench = bench(None).await;
@@ -316,13 +317,13 @@
         *bench.shared.faults.lock().unwrap() = drawn.iter().copied().collect();
         let read = random.random_bool(0.3);
         let text = format!("{} {seed}", if read { "select seat" } else { "update t" });
-        let told = client.simple_query(&text).await;
+        let result = client.simple_query(&text).await;
         let payload = bytes::Bytes::from(
             [b"Q", &(text.len() as u32 + 5).to_be_bytes()[..], text.as_bytes(), b"\0"].concat(),
         );
         let ran =
             bench.shared.run_counts.lock().unwrap().get(&payload).copied().unwrap_or_default();
-        match told.map_err(|error| error.code().unwrap().code().to_owned()) {
+        match result.map_err(|error| error.code().unwrap().code().to_owned()) {
             Ok(_) => assert!(ran == 1 || (read && ran > 0), "seed {seed}: {drawn:?}"),
             Err(code) if code == "TF001" => assert_eq!(ran, 0, "seed {seed}: {drawn:?}"),
             Err(code) => {
@@ -338,7 +339,11 @@
     stream.write_all(bytes).await.unwrap();
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
-    drop(tokio::time::timeout(Duration::from_secs(5), read).await.expect("it closes"));
+    drop(
+        tokio::time::timeout(Duration::from_secs(5), read)
+            .await
+            .expect("the front closes the connection"),
+    );
     answer
 }
 
@@ -365,7 +370,7 @@
     stream.write_all(&[startup().as_slice(), query].concat()).await.unwrap();
     let mut answer = Vec::new();
     drop(stream.read_to_end(&mut answer).await);
-    assert!(holds(&answer, "select 1") && answer.ends_with(b"Z\0\0\0\x05I"));
+    assert!(contains(&answer, "select 1") && answer.ends_with(b"Z\0\0\0\x05I"));
 }
 
 #[tokio::test]
@@ -375,16 +380,16 @@
     assert!(answer_to(bench.address, &early).await.is_empty());
 }
 
-fn holds(answer: &[u8], text: &str) -> bool {
+fn contains(answer: &[u8], text: &str) -> bool {
     answer.windows(text.len()).any(|window| window == text.as_bytes())
 }
 
 #[tokio::test]
 async fn garbage_ends_in_an_error() {
     let bench = bench(None).await;
-    assert!(holds(&answer_to(bench.address, b"GET / HTTP/1.1\r\n\r\n").await, "08P01"));
+    assert!(contains(&answer_to(bench.address, b"GET / HTTP/1.1\r\n\r\n").await, "08P01"));
     let oversized = [&0x7fff_ffff_u32.to_be_bytes()[..], b"\0\x03\0\0"].concat();
-    assert!(holds(&answer_to(bench.address, &oversized).await, "08P01"));
+    assert!(contains(&answer_to(bench.address, &oversized).await, "08P01"));
     for message in [
         &b"Q\x7f\0\0\0"[..],
         b"Z\0\0\0\x04",
@@ -393,14 +398,14 @@
         b"Q\0\0\0\x06\xff\0",
     ] {
         let answer = answer_to(bench.address, &[startup().as_slice(), message].concat()).await;
-        assert!(holds(&answer, "08P01") || holds(&answer, "22021"), "{message:?}");
+        assert!(contains(&answer, "08P01") || contains(&answer, "22021"), "{message:?}");
     }
     let client = bench.connect().await;
     assert_eq!(rows(&client, "select 1").await.unwrap(), ["select 1"]);
 }
 
 #[tokio::test]
-async fn half_open_starts_hold_nobody_up() {
+async fn incomplete_startup_packets_do_not_block_other_callers() {
     let bench = bench(None).await;
     let mut open = Vec::new();
     for length in [0, 1, 4, 8, 20] {
@@ -420,7 +425,7 @@
         let length = (text.len() as u32 + 5).to_be_bytes();
         bytes.extend_from_slice(&[b"Q", &length[..], text.as_bytes(), b"\0"].concat());
     }
-    // this runs outside a transaction, so its answer can't be had before its Sync
+    // the statement runs outside a transaction, so a Flush before its Sync is refused
     bytes.extend_from_slice(&[&statement("four"), FLUSH, SYNC].concat());
     bytes.extend_from_slice(TERMINATE);
     let answer = answer_to(bench.address, &bytes).await;
@@ -431,7 +436,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing() {
+async fn a_planned_stop_cuts_no_caller() {
     let bench = bench(None).await;
     let (idle, busy, open) = (bench.connect().await, bench.connect().await, bench.connect().await);
     rows(&idle, "select 1").await.unwrap();
@@ -461,7 +466,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_is_cut_off_from_control_lets_idle_callers_go_and_no_others() {
+async fn an_entry_that_is_cut_off_from_control_disconnects_only_idle_callers() {
     let shared = std::sync::Arc::default();
     let keeper = fake::keeper("one", std::sync::Arc::clone(&shared)).await;
     let lease = Duration::from_secs(2);
@@ -474,10 +479,12 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), gone).await.expect("it is let go");
+    tokio::time::timeout(Duration::from_secs(20), gone)
+        .await
+        .expect("the idle caller is disconnected");
     assert_eq!(code(connect(&bench.config()).await), "57P03");
     open.simple_query("COMMIT").await.unwrap();
-    // a lease that is back opens the entry again
+    // with a new lease the entry accepts callers again
     bench.view.extend(Instant::from_millis(u64::from(u32::MAX)));
     let client = bench.connect().await;
     assert_eq!(rows(&client, "select 1").await.unwrap(), ["select 1"]);
