--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -135,7 +135,7 @@
     let other = fake::keeper("two", std::sync::Arc::clone(&shared)).await;
     let keepers = [("one", address), ("two", other)];
     let bench = fake::bench_with(None, Duration::from_mins(10), shared, &keepers).await;
-    // the silent keeper may be the first choice of any of these callers
+    // a hash of its session number decides which keeper a caller tries first
     for _ in 0..4 {
         let client = bench.connect().await;
         assert_eq!(rows(&client, "update t").await.unwrap(), ["update t"]);
