--- a/components/entry/src/front/admit.rs
+++ b/components/entry/src/front/admit.rs
@@ -1,4 +1,4 @@
-//! What the declarations say of a request.
+//! Access of services to database groups, and the declared rules of requests.
 
 use config::model::Class;
 use config::{Declarations, Rule};
@@ -10,21 +10,24 @@
 use base::prelude::*;
 use pg::{Code, Problem};
 
-/// How a request is to be run.
+/// How an admitted request is to be run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admission {
-    /// Its rule.
+    /// Declared rule of the request.
     pub rule: Rule,
-    /// Time that it may take in all.
+    /// Time that the request may take in total, over all attempts.
     pub deadline: Duration,
-    /// Version of the declarations.
+    /// Version of the declarations that admitted the request.
     pub version: u64,
-    /// The declarations of that version.
+    /// Declarations of that version.
     pub declarations: Arc<Declarations>,
 }
 
-/// Whether a service may use a group, and why not.
-pub fn opens(state: &State, service: &str, group: &str) -> Result<(), Problem> {
+/// Checks that a service may use a database group.
+///
+/// # Errors
+/// The reason why the service may not use it.
+pub fn check_access(state: &State, service: &str, group: &str) -> Result<(), Problem> {
     let declarations = &state.declarations;
     if !declarations.services.contains_key(service) {
         let message = format!("service `{service}` is not declared");
@@ -41,17 +44,21 @@
     Ok(())
 }
 
-/// The rule of a request that consists of these texts.
+/// Admits a request that consists of `texts`.
+///
+/// A request runs under [`Rule::UNDECLARED`] if its texts have different rules,
+/// if a text begins or ends a transaction, or if a text holds several statements
+/// and no tag.
 ///
-/// Texts that differ in their rule, and one that begins or ends a transaction,
-/// are run as undeclared; so are several statements in one text without a tag.
+/// # Errors
+/// As [`check_access`].
 pub fn admit<'a>(
     state: &State,
     service: &str,
     group: &str,
     texts: impl Iterator<Item = (&'a str, &'a Scan)>,
 ) -> Result<Admission, Problem> {
-    opens(state, service, group)?;
+    check_access(state, service, group)?;
     let mut rules = texts.map(|(text, scan)| rule(state, service, group, text, scan));
     let first = rules.next().unwrap_or(Rule::UNDECLARED);
     let rule = if rules.all(|rule| rule == first) { first } else { Rule::UNDECLARED };
@@ -70,8 +77,8 @@
     state.declarations.rule(service, group, scan.tag.as_deref(), beginning(text))
 }
 
-/// The class as a keeper is told.
-pub fn class(class: Class) -> wire::data::Class {
+/// Converts a class to its form on the link to keepers.
+pub fn wire_class(class: Class) -> wire::data::Class {
     match class {
         Class::Write => wire::data::Class::Write,
         Class::Idempotent => wire::data::Class::Idempotent,
--- a/components/entry/src/front/login.rs
+++ b/components/entry/src/front/login.rs
@@ -1,4 +1,4 @@
-//! From an accepted connection to a session.
+//! Startup and authentication of PostgreSQL callers.
 
 use std::sync::Arc;
 
@@ -15,42 +15,49 @@
 use tokio::net::TcpStream;
 
 use super::caller::Caller;
-use super::conn::{Conn, Gone};
+use super::conn::{Conn, Disconnect};
 use super::session::{Session, Transaction};
 use super::{Front, admit};
 
-/// Longest time of a login.
-const TIMEOUT: Duration = Duration::from_secs(15);
+/// Time limit for a login, from the accepted connection to the session.
+const LOGIN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Parameters of a start that are no settings.
-const PARAMETERS: [&str; 4] = ["user", "database", "options", "replication"];
+/// Parameters of a startup message that are not settings.
+const NON_SETTINGS: [&str; 4] = ["user", "database", "options", "replication"];
 
-/// Logs a caller in; `None` when it wanted something else, which is done.
+/// Logs a caller in. Returns `None` if the connection carried a cancel request, which
+/// has been processed.
 ///
 /// # Errors
-/// The reason why it is [`Gone`].
-pub async fn login(front: &Arc<Front>, stream: TcpStream) -> Result<Option<Caller>, Report<Gone>> {
-    let done = tokio::time::timeout(TIMEOUT, start(front, stream)).await;
-    done.change_context(Gone::Timeout)?
+/// The reason why the caller was disconnected.
+pub async fn login(
+    front: &Arc<Front>,
+    stream: TcpStream,
+) -> Result<Option<Caller>, Report<Disconnect>> {
+    let caller = tokio::time::timeout(LOGIN_TIMEOUT, negotiate(front, stream)).await;
+    caller.change_context(Disconnect::Timeout)?
 }
 
-async fn start(front: &Arc<Front>, stream: TcpStream) -> Result<Option<Caller>, Report<Gone>> {
-    stream.set_nodelay(true).change_context(Gone::Io)?;
+async fn negotiate(
+    front: &Arc<Front>,
+    stream: TcpStream,
+) -> Result<Option<Caller>, Report<Disconnect>> {
+    stream.set_nodelay(true).change_context(Disconnect::Io)?;
     let mut conn = Conn::new(stream);
     let mut is_tls = false;
     loop {
-        match packet(&mut conn).await? {
+        match next_packet(&mut conn).await? {
             Packet::Gss => conn.write(b"N").await?,
             Packet::Tls => match front.tls.as_ref().filter(|_| !is_tls) {
                 None => conn.write(b"N").await?,
                 Some(acceptor) => {
-                    // bytes sent in the clear before the handshake are not to be trusted
+                    // bytes sent in plain text before the handshake may have been injected
                     if conn.input.has_remaining() {
-                        return Err(Report::new(Gone::Protocol));
+                        return Err(Report::new(Disconnect::Protocol));
                     }
                     conn.write(b"S").await?;
                     let accepted = acceptor.accept(conn.into_io()).await;
-                    conn = Conn::new(accepted.change_context(Gone::Io)?);
+                    conn = Conn::new(accepted.change_context(Disconnect::Io)?);
                     is_tls = true;
                 }
             },
@@ -58,12 +65,12 @@
                 front.cancels.cancel(target).await;
                 return Ok(None);
             }
-            Packet::Start(start) => return open(front, conn, &start).await.map(Some),
+            Packet::Start(start) => return open_session(front, conn, &start).await.map(Some),
         }
     }
 }
 
-async fn packet(conn: &mut Conn) -> Result<Packet, Report<Gone>> {
+async fn next_packet(conn: &mut Conn) -> Result<Packet, Report<Disconnect>> {
     loop {
         match startup::take(&mut conn.input) {
             Ok(Some(packet)) => return Ok(packet),
@@ -72,17 +79,21 @@
                 let message = report.current_context().to_string();
                 conn.output.fatal(&Problem::new(Code::Protocol, message));
                 conn.flush().await?;
-                return Err(report.change_context(Gone::Protocol));
+                return Err(report.change_context(Disconnect::Protocol));
             }
         }
     }
 }
 
-async fn open(front: &Arc<Front>, mut conn: Conn, start: &Start) -> Result<Caller, Report<Gone>> {
-    match admitted(front, &mut conn, start).await {
+async fn open_session(
+    front: &Arc<Front>,
+    mut conn: Conn,
+    start: &Start,
+) -> Result<Caller, Report<Disconnect>> {
+    match admit_session(front, &mut conn, start).await {
         Ok(session) => {
             let mut caller = Caller::new(Arc::clone(front), conn, session);
-            greet(&mut caller, start);
+            write_startup_answer(&mut caller, start);
             caller.conn.flush().await?;
             Ok(caller)
         }
@@ -96,15 +107,15 @@
     }
 }
 
-fn refuse(problem: Problem) -> Report<Gone> {
-    Report::new(problem).change_context(Gone::Refused)
+fn refuse(problem: Problem) -> Report<Disconnect> {
+    Report::new(problem).change_context(Disconnect::Refused)
 }
 
-async fn admitted(
+async fn admit_session(
     front: &Arc<Front>,
     conn: &mut Conn,
     start: &Start,
-) -> Result<Session, Report<Gone>> {
+) -> Result<Session, Report<Disconnect>> {
     if start.minor > 0 || start.unknown().next().is_some() {
         conn.output.negotiate(start.unknown().map(str::to_owned).collect());
     }
@@ -120,8 +131,8 @@
         return Err(refuse(Problem::new(Code::Unready, message)));
     }
     let database = start.get("database").unwrap_or(user);
-    front.view.read(|state| admit::opens(state, user, database)).map_err(refuse)?;
-    let name = |text: &str| Name::new(text).change_context(Gone::Refused);
+    front.view.read(|state| admit::check_access(state, user, database)).map_err(refuse)?;
+    let name = |text: &str| Name::new(text).change_context(Disconnect::Refused);
     let mut session = Session {
         service: name(user)?,
         group: name(database)?,
@@ -129,19 +140,19 @@
         floors: Floors::new(),
         prepared: pg::Prepared::new(),
         transaction: Transaction::None,
-        number: front.number(),
+        number: front.next_session_number(),
         cycles: 0,
         cancel: front.cancels.add(),
     };
-    settle(front, &mut session, start).map_err(refuse)?;
+    apply_settings(front, &mut session, start).map_err(refuse)?;
     Ok(session)
 }
 
-/// Takes the settings that come with a start.
-fn settle(front: &Front, session: &mut Session, start: &Start) -> Result<(), Problem> {
+/// Applies the settings in a startup message to a session.
+fn apply_settings(front: &Front, session: &mut Session, start: &Start) -> Result<(), Problem> {
     let parameters = start.parameters.iter().map(|(name, value)| (name.as_str(), value.as_str()));
-    let own = |name: &str| !PARAMETERS.contains(&name) && !name.starts_with("_pq_.");
-    for (name, value) in parameters.filter(|(name, _)| own(name)).chain(start.options()) {
+    let is_setting = |name: &str| !NON_SETTINGS.contains(&name) && !name.starts_with("_pq_.");
+    for (name, value) in parameters.filter(|(name, _)| is_setting(name)).chain(start.options()) {
         let local = setting::assign(name, Some(value)).map_err(|feature| {
             let problem = Problem::from(feature);
             Problem::new(problem.code, format!("{name}: {}", problem.message))
@@ -160,7 +171,7 @@
     Ok(())
 }
 
-fn greet(caller: &mut Caller, start: &Start) {
+fn write_startup_answer(caller: &mut Caller, start: &Start) {
     let output = &mut caller.conn.output;
     output.authentication(&Authentication::Ok);
     for (name, value) in setting::REPORTED {
@@ -169,43 +180,49 @@
     output.parameter("session_authorization", start.get("user").unwrap_or_default());
     output.parameter(setting::APPLICATION, &caller.session.application);
     output.key(caller.session.cancel.target);
-    caller.report();
-    caller.ready();
+    caller.report_token();
+    caller.write_ready();
 }
 
-async fn authenticate(front: &Front, conn: &mut Conn, user: &str) -> Result<(), Report<Gone>> {
+async fn authenticate(
+    front: &Front,
+    conn: &mut Conn,
+    user: &str,
+) -> Result<(), Report<Disconnect>> {
     let Some(users) = &front.users else {
         return Ok(());
     };
-    let wrong = || {
+    let wrong_password = || {
         let message = format!("password authentication failed for user \"{user}\"");
         refuse(Problem::new(Code::Password, message))
     };
-    // an unknown user is led through the same steps, so that it can't be told apart
-    let decoy = || Verifier::new(&rand::random::<u64>().to_string(), &front.salt(user));
+    // an unknown user goes through the same exchange, so that a client can't find out
+    // which users exist
+    let decoy = || Verifier::new(&rand::random::<u64>().to_string(), &front.decoy_salt(user));
     let verifier = users.get(user).cloned().unwrap_or_else(decoy);
     conn.output.authentication(&Authentication::SASL(vec![MECHANISM.to_owned()]));
     conn.flush().await?;
-    let initial = response(conn).await?;
-    let first = first_message(&initial).ok_or_else(wrong)?;
-    let (answer, exchange) = verifier.start(&first).map_err(|_ignored| wrong())?;
+    let initial = next_response(conn).await?;
+    let first = first_message(&initial).ok_or_else(wrong_password)?;
+    let (answer, exchange) = verifier.start(&first).map_err(|_ignored| wrong_password())?;
     conn.output.authentication(&Authentication::SASLContinue(answer.into()));
     conn.flush().await?;
-    let last = response(conn).await?;
-    let answer = exchange.finish(&last).map_err(|_ignored| wrong())?;
+    let last = next_response(conn).await?;
+    let answer = exchange.finish(&last).map_err(|_ignored| wrong_password())?;
     conn.output.authentication(&Authentication::SASLFinal(answer.into()));
     Ok(())
 }
 
-async fn response(conn: &mut Conn) -> Result<Bytes, Report<Gone>> {
+async fn next_response(conn: &mut Conn) -> Result<Bytes, Report<Disconnect>> {
     let frame = conn.next().await?;
-    match Message::decode(&frame).change_context(Gone::Protocol)? {
+    match Message::decode(&frame).change_context(Disconnect::Protocol)? {
         Message::Password(bytes) if bytes.len() <= startup::MAX_BYTES => Ok(bytes),
         _ => Err(refuse(Problem::new(Code::Protocol, "a password is due"))),
     }
 }
 
-/// The client's first message out of its answer: mechanism, length, message.
+/// Extracts the client-first-message from a `SASLInitialResponse`, which consists of
+/// mechanism, length and message.
 fn first_message(initial: &Bytes) -> Option<Bytes> {
     let end = initial.iter().position(|byte| *byte == 0)?;
     let mut rest = initial.slice(end + 1..);
--- a/components/entry/src/front/run.rs
+++ b/components/entry/src/front/run.rs
@@ -1,4 +1,4 @@
-//! One cycle of a PostgreSQL caller at a keeper, and what the caller is told.
+//! Runs one cycle of a PostgreSQL caller at a keeper and writes its answer.
 
 use std::sync::Arc;
 
@@ -12,45 +12,46 @@
 use wire::data::{End, Leave, Outcome, Reason, Run, ask};
 
 use super::admit::{self, Admission};
+use super::attempt::{self, Attempt};
 use super::caller::Caller;
 use super::cancels;
-use super::conn::{Conn, FLUSH_BYTES, Gone};
-use super::errand::{Errand, Sink, millis};
+use super::conn::{Conn, Disconnect, FLUSH_BYTES};
+use super::dispatch::{Dispatch, Sink, millis};
 use super::link::Link;
 use super::session::Transaction;
-use super::verdict::{self, Attempt};
 
-/// Time within which a lease is expected to move from one keeper to another.
-const LEASE_MOVE: Duration = Duration::from_secs(1);
+/// Time in which a cycle may be retried: a lease is expected to move from one keeper
+/// to another within it.
+const RETRY_WINDOW: Duration = Duration::from_secs(1);
 
 /// A cycle to run.
 #[derive(Debug)]
 pub struct Work {
-    /// The messages and what is due.
+    /// Messages for the backend server, and the answers that they lead to.
     pub plan: Plan,
-    /// How it is to be run.
+    /// How the cycle is to be run.
     pub admission: Admission,
-    /// Whether it may commit a transaction.
+    /// Whether the cycle may commit a transaction.
     pub commits: bool,
 }
 
 impl Caller {
-    /// Runs a cycle and writes its answer; whether that was an error.
-    pub(super) async fn run(&mut self, work: Work) -> Result<bool, Report<Gone>> {
+    /// Runs a cycle and writes its answer. Returns whether the cycle failed.
+    pub(super) async fn run(&mut self, work: Work) -> Result<bool, Report<Disconnect>> {
         let started = self.front.clock.now();
         let open = match &self.session.transaction {
             Transaction::Open { link, .. } => Some(Arc::clone(link)),
-            Transaction::None | Transaction::Lost => None,
+            Transaction::None | Transaction::RolledBack => None,
         };
-        let run = self.message(&work, open.is_some());
+        let run = self.build_request(&work, open.is_some());
         let front = Arc::clone(&self.front);
-        let mut errand = Errand {
+        let mut dispatch = Dispatch {
             front: &front,
             number: &mut self.session.number,
             class: work.admission.rule.class,
             started,
             deadline: work.admission.deadline,
-            patience: LEASE_MOVE,
+            retry_window: RETRY_WINDOW,
             run,
             sink: Answer {
                 conn: &mut self.conn,
@@ -59,40 +60,41 @@
             },
         };
         let result = match open {
-            Some(link) => errand.attempt(&link).await.map(|attempt| (attempt, Some(link))),
-            None => errand.search().await,
+            Some(link) => dispatch.attempt(&link).await.map(|attempt| (attempt, Some(link))),
+            None => dispatch.try_keepers().await,
         };
-        let failed = errand.sink.filter.failed();
-        let trace = std::mem::take(&mut errand.run.trace);
-        let running = self.session.cancel.set(None);
+        let failed = dispatch.sink.filter.failed();
+        let trace = std::mem::take(&mut dispatch.run.trace);
+        let running = self.session.cancel.set_running(None);
         match result {
             Ok((attempt, link)) => {
                 self.record(&work, &attempt, started);
-                let done = self.settle(&work, attempt, link, started, &trace).await;
+                let done = self.finish(&work, attempt, link, started, &trace).await;
                 Ok(failed || !done)
             }
             Err(report) => {
-                // the caller is gone, and what it ran must not stay
+                // the caller has disconnected, so its running request and its
+                // transaction must not stay at the keeper
                 self.session.transaction = Transaction::None;
                 if let Some((link, _)) = running {
-                    self.leave(&link).await;
+                    self.release_session(&link).await;
                 }
                 Err(report)
             }
         }
     }
 
-    fn message(&self, work: &Work, within: bool) -> Run {
+    fn build_request(&self, work: &Work, within: bool) -> Run {
         let (session, rule) = (&self.session, &work.admission.rule);
         let floor = session.floors.get(session.group.as_str());
-        // within a transaction the class of one statement says nothing
+        // the class of one statement does not hold for its whole transaction
         let class = if within { Class::Write } else { rule.class };
         Run {
             request: 0,
             caller: session.number,
             service: session.service.as_str().to_owned(),
             group: session.group.as_str().to_owned(),
-            class: admit::class(class) as i32,
+            class: admit::wire_class(class) as i32,
             within,
             floor: floor.map(Into::into),
             fresh: floor.is_none() || (class == Class::Read && rule.age.is_zero()),
@@ -107,8 +109,9 @@
         }
     }
 
-    /// Takes the end of the last attempt; whether the request is done.
-    async fn settle(
+    /// Applies the result of the last attempt to the session and writes its error, if
+    /// there is one. Returns whether the request is done.
+    async fn finish(
         &mut self,
         work: &Work,
         attempt: Attempt,
@@ -117,22 +120,29 @@
         trace: &str,
     ) -> bool {
         let within = self.session.transaction.is_open();
-        self.keep(work, attempt.own());
+        self.apply_prepared(work, attempt.own_answers());
         if let Attempt::Ended { end, .. } = &attempt {
-            self.front.metrics.cycle(end);
+            self.front.metrics.record_cycle(end);
         }
-        let Some(problem) = verdict::problem(&attempt, within, work.commits) else {
-            self.done(work, &attempt, link, within);
+        let Some(problem) = attempt::problem(&attempt, within, work.commits) else {
+            self.update_session(work, &attempt, link, within);
             return true;
         };
-        self.tell(work, attempt.reason(), &problem, started, trace);
-        let held = link.filter(|_| verdict::holds(&attempt, within));
-        self.lose(work, &problem, held, within).await;
+        self.log_failure(work, attempt.reason(), &problem, started, trace);
+        let held = link.filter(|_| attempt::is_session_held(&attempt, within));
+        self.fail_request(work, &problem, held, within).await;
         false
     }
 
-    /// One line for a cycle that was not done.
-    fn tell(&self, work: &Work, reason: Reason, problem: &Problem, started: Instant, trace: &str) {
+    /// Logs a cycle that was not done.
+    fn log_failure(
+        &self,
+        work: &Work,
+        reason: Reason,
+        problem: &Problem,
+        started: Instant,
+        trace: &str,
+    ) {
         let now = self.front.clock.now();
         let group = &self.session.group;
         let read = work.admission.rule.class == Class::Read;
@@ -159,7 +169,8 @@
         let read = rule.class == Class::Read;
         let is_done = |end: &End| end.outcome() == Outcome::Done;
         let done = matches!(attempt, Attempt::Ended { end, .. } if is_done(end));
-        // a read that accepts an age saw one within it, any other a fresh state
+        // a read that accepts a bounded age saw data within that bound; any other
+        // read saw current data
         let age = (read && done).then_some(rule.age);
         let event = burn::Event { latency: now.since(started), done, write: !read, age };
         let service = &self.session.service;
@@ -169,22 +180,29 @@
         }
     }
 
-    fn keep(&mut self, work: &Work, own: usize) {
+    fn apply_prepared(&mut self, work: &Work, own: usize) {
         for change in &work.plan.changes[..own.min(work.plan.changes.len())] {
             self.session.prepared.apply(change);
         }
     }
 
-    /// Takes what an end that is done says of the session.
-    fn done(&mut self, work: &Work, attempt: &Attempt, link: Option<Arc<Link>>, within: bool) {
+    /// Updates floors and transaction status of the session after a request that is
+    /// done.
+    fn update_session(
+        &mut self,
+        work: &Work,
+        attempt: &Attempt,
+        link: Option<Arc<Link>>,
+        within: bool,
+    ) {
         let Attempt::Ended { end, .. } = attempt else {
             return;
         };
         if let Some(mark) = end.mark {
-            let rose = self.session.floors.raise(&self.session.group, mark.into());
+            let raised = self.session.floors.raise(&self.session.group, mark.into());
             let wrote = work.admission.rule.class != Class::Read || within;
-            if rose && wrote && !end.replica {
-                self.report();
+            if raised && wrote && !end.replica {
+                self.report_token();
             }
         }
         let status = u8::try_from(end.status).ok().and_then(Status::from_byte);
@@ -195,11 +213,11 @@
         };
     }
 
-    /// Tells of a request that did not end well, and forgets its transaction.
+    /// Writes the error of a request that is not done, and drops its transaction.
     ///
-    /// A transaction that is not over for the caller stays failed until the
-    /// caller ends it, so that no later statement of it runs by itself.
-    async fn lose(
+    /// A transaction that the caller has not ended stays failed until the caller ends
+    /// it, so that no later statement of it runs outside a transaction.
+    async fn fail_request(
         &mut self,
         work: &Work,
         problem: &Problem,
@@ -208,21 +226,22 @@
     ) {
         self.conn.output.error(problem);
         if let Some(link) = link {
-            self.leave(&link).await;
+            self.release_session(&link).await;
         }
         self.session.transaction =
-            if within && !work.commits { Transaction::Lost } else { Transaction::None };
+            if within && !work.commits { Transaction::RolledBack } else { Transaction::None };
     }
 
-    /// Makes a keeper forget the session; it goes on under another number.
-    pub(super) async fn leave(&mut self, link: &Link) {
+    /// Tells a keeper to roll back and forget the session, which continues under a new
+    /// number.
+    pub(super) async fn release_session(&mut self, link: &Link) {
         let caller = self.session.number;
-        link.tell(ask::Body::Leave(Leave { caller })).await;
-        self.session.number = self.front.number();
+        link.send(ask::Body::Leave(Leave { caller })).await;
+        self.session.number = self.front.next_session_number();
     }
 }
 
-/// Passes an answer on to a caller as it comes.
+/// Forwards an answer to the caller as it arrives.
 struct Answer<'a> {
     conn: &'a mut Conn,
     cancel: &'a cancels::Session,
@@ -231,10 +250,10 @@
 
 impl Sink for Answer<'_> {
     fn start(&mut self, link: &Arc<Link>, number: u64) {
-        self.cancel.set(Some((Arc::clone(link), number)));
+        self.cancel.set_running(Some((Arc::clone(link), number)));
     }
 
-    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Gone>> {
+    async fn feed(&mut self, part: &Bytes) -> Result<Option<bool>, Report<Disconnect>> {
         let Ok(pieces) = self.filter.feed(part) else {
             return Ok(None);
         };
@@ -252,11 +271,11 @@
         Ok(Some(!pieces.is_empty()))
     }
 
-    async fn flush(&mut self) -> Result<(), Report<Gone>> {
+    async fn flush(&mut self) -> Result<(), Report<Disconnect>> {
         self.conn.flush().await
     }
 
-    fn own(&self) -> usize {
+    fn own_answers(&self) -> usize {
         self.filter.own()
     }
 }
