--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -24,7 +24,7 @@
 
 use crate::view::{Symptoms, View};
 pub use controls::Controls;
-use progress::{Fault, Progress, SILENCE};
+use progress::{CONFIRM_TIMEOUT, Fault, Progress};
 
 /// Longest wait before the first dial after a link broke.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
@@ -147,7 +147,7 @@
     let mut progress = Progress::new(settings.clock.now(), settings.join.clone());
     match follow(settings, address, &mut progress, given, left).await {
         Ok(()) => End::Left,
-        Err(report) => End::Failed { confirmed: progress.confirmed(), report },
+        Err(report) => End::Failed { confirmed: progress.has_confirmed(), report },
     }
 }
 
@@ -183,14 +183,14 @@
                     settings.controls.learn(members);
                 }
                 progress.on(&view, message)?;
-                progress.collect(&view, given);
-                if progress.has_news(&view) {
+                progress.collect_given_up(&view, given);
+                if progress.has_reduced_lease(&view) {
                     beat(settings, progress, given, &mut writer).await?;
                 }
             }
             _ = beats.tick() => beat(settings, progress, given, &mut writer).await?,
-            () = view.given_up() => beat(settings, progress, given, &mut writer).await?,
-            () = view.sealed() => send_seals(&view, &mut writer).await?,
+            () = view.wait_for_given_up() => beat(settings, progress, given, &mut writer).await?,
+            () = view.wait_for_seal() => send_seals(&view, &mut writer).await?,
             Some(symptom) = settings.symptoms.recv() => {
                 send(&mut writer, up::Body::Symptom(symptom)).await?;
             }
@@ -232,6 +232,6 @@
 
 async fn send(writer: &mut Writer, body: up::Body) -> Result<(), Report<Fault>> {
     let message = Up { body: Some(body) };
-    let sent = timeout(SILENCE, writer.send(&message)).await;
+    let sent = timeout(CONFIRM_TIMEOUT, writer.send(&message)).await;
     sent.change_context(Fault::Link)?.change_context(Fault::Link)
 }
--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -18,14 +18,14 @@
 use crate::view::View;
 
 /// Time after which an unconfirmed beat makes an entry try another member.
-pub const SILENCE: Duration = Duration::from_secs(1);
+pub const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest time for which what still comes of a long message keeps a link whose
 /// beats are unconfirmed: they are confirmed behind it.
-pub const TRANSFER: Duration = Duration::from_secs(10);
+pub const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after which an entry that the state does not hold joins again.
-pub const ABSENCE: Duration = Duration::from_secs(1);
+pub const REJOIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest image in bytes.
 pub const MAX_IMAGE_BYTES: u64 = 256 << 20;
@@ -111,7 +111,7 @@
     }
 
     /// Whether this member has confirmed a beat.
-    pub fn confirmed(&self) -> bool {
+    pub fn has_confirmed(&self) -> bool {
         self.confirmed
     }
 
@@ -119,7 +119,7 @@
     /// that they are no longer returning. Due after each change of the state,
     /// so that a group that is granted and taken back again is not taken for
     /// given up. Returns the index that was looked at.
-    pub fn collect(&self, view: &View, given: &mut Vec<Name>) -> u64 {
+    pub fn collect_given_up(&self, view: &View, given: &mut Vec<Name>) -> u64 {
         for group in view.take_returned() {
             if !given.contains(&group) {
                 given.push(group);
@@ -134,7 +134,7 @@
     /// Whether something was taken from a lease of this entry since the last
     /// beat. Control grants it to another only once it hears that this entry
     /// knows, so a beat is due at once.
-    pub fn has_news(&self, view: &View) -> bool {
+    pub fn has_reduced_lease(&self, view: &View) -> bool {
         view.read(|state| self.reduced(state)) > self.told
     }
 
@@ -149,7 +149,7 @@
     pub fn beat(&mut self, now: Instant, view: &View, given: &mut Vec<Name>) -> Beat {
         self.sequence += 1;
         self.sent.push_back((self.sequence, now));
-        let applied = self.collect(view, given);
+        let applied = self.collect_given_up(view, given);
         self.told = view.read(|state| self.reduced(state)).min(applied);
         let returned = given.iter().map(Name::to_string).collect();
         Beat { sequence: self.sequence, applied, returned }
@@ -199,7 +199,7 @@
         if behind || view.read(own) == Some(self.join.incarnation) {
             self.known = now;
         }
-        if now.since(self.known) > ABSENCE {
+        if now.since(self.known) > REJOIN_TIMEOUT {
             return Err(Report::new(Fault::Absent));
         }
         Ok(())
@@ -209,8 +209,9 @@
         let Some(&(_, oldest)) = self.sent.front() else {
             return false;
         };
-        let comes = now.since(self.unfinished.1) <= SILENCE && now.since(oldest) <= TRANSFER;
-        now.since(oldest) > SILENCE && !comes
+        let comes = now.since(self.unfinished.1) <= CONFIRM_TIMEOUT
+            && now.since(oldest) <= TRANSFER_TIMEOUT;
+        now.since(oldest) > CONFIRM_TIMEOUT && !comes
     }
 
     fn confirm(&mut self, confirm: Confirm) {
@@ -233,7 +234,7 @@
                 return true;
             }
             let lease = Duration::from_millis(confirm.lease_ms).min(control::lease::LEASE);
-            view.extend(*sent + lease);
+            view.extend_lease(*sent + lease);
             false
         });
     }
--- a/components/entry/src/front/errand.rs
+++ b/components/entry/src/front/errand.rs
@@ -80,9 +80,9 @@
         let mut changes = self.front.view.changes();
         loop {
             let now = self.front.clock.now();
-            if !self.front.view.leased(now) {
+            if !self.front.view.has_lease(now) {
                 if now < until && expects_lease(self.front, now) {
-                    self.front.view.extended(LEASE_STEP).await;
+                    self.front.view.wait_for_extension(LEASE_STEP).await;
                     continue;
                 }
                 let lease = verdict::not_run(Reason::Lease);
--- a/components/entry/src/front/login.rs
+++ b/components/entry/src/front/login.rs
@@ -115,7 +115,7 @@
         return Err(refuse(Feature::Replication.into()));
     }
     authenticate(front, conn, user).await?;
-    if !front.view.leased(front.clock.now()) {
+    if !front.view.has_lease(front.clock.now()) {
         let message = "this entry has lost touch with control";
         return Err(refuse(Problem::new(Code::Unready, message)));
     }
--- a/components/entry/src/front/plain.rs
+++ b/components/entry/src/front/plain.rs
@@ -60,7 +60,7 @@
             return Ok(None);
         }
     };
-    if !front.view.leased(front.clock.now()) {
+    if !front.view.has_lease(front.clock.now()) {
         // nothing could be run, and a database may be declared that this entry
         // has not heard of
         conn.put(&Answer::Problem(Problem::Busy));
@@ -79,9 +79,9 @@
     let until = front.clock.now() + READY_TIME;
     loop {
         let now = front.clock.now();
-        if front.view.leased(now) || now >= until || !expects_lease(front, now) {
+        if front.view.has_lease(now) || now >= until || !expects_lease(front, now) {
             return;
         }
-        front.view.extended(until.since(now)).await;
+        front.view.wait_for_extension(until.since(now)).await;
     }
 }
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -261,7 +261,7 @@
         check.tick().await;
         let draining = view
             .read(|state| state.entries.get(&settings.name).is_some_and(|entry| entry.draining));
-        let ready = view.leased(settings.clock.now()) && !draining;
+        let ready = view.has_lease(settings.clock.now()) && !draining;
         if health.set_ready(ready) != ready {
             info!(settings.log, "readiness changed"; "ready" => ready);
         }
@@ -299,12 +299,12 @@
 
     /// Stops as planned, with the default [`Stop`].
     pub async fn stop(self) {
-        self.stop_as(Stop::default()).await;
+        self.stop_with(Stop::default()).await;
     }
 
     /// Stops as planned: is not ready, lets the balancer notice, takes no new
     /// callers, finishes what runs, gives the leases back and leaves.
-    pub async fn stop_as(self, stop: Stop) {
+    pub async fn stop_with(self, stop: Stop) {
         self.ready.abort();
         self.health.set_ready(false);
         info!(self.log, "stopping"; "limit_ms" => stop.limit.as_millis() as u64);
--- a/components/entry/src/keep/answer.rs
+++ b/components/entry/src/keep/answer.rs
@@ -68,7 +68,7 @@
     /// A piece is whole.
     Piece(Piece),
     /// The cycle is over.
-    Over {
+    Ready {
         /// Status byte.
         status: u8,
         /// Whether an error came.
@@ -78,13 +78,13 @@
 
 /// Gathers the messages of one cycle.
 #[derive(Debug, Default)]
-pub(super) struct Gather {
+pub(super) struct Assembler {
     bytes: BytesMut,
     kind: Option<Kind>,
     failed: bool,
 }
 
-impl Gather {
+impl Assembler {
     /// Takes a message in; puts out what is whole.
     pub(super) fn add(
         &mut self,
@@ -95,7 +95,7 @@
             b'Z' => {
                 let status = *message.body().first().ok_or(Failure::Disorder)?;
                 self.flush(out);
-                out.push(Step::Over { status, failed: std::mem::take(&mut self.failed) });
+                out.push(Step::Ready { status, failed: std::mem::take(&mut self.failed) });
                 return Ok(());
             }
             b'A' => return Ok(()),
--- a/components/entry/src/keep/conn.rs
+++ b/components/entry/src/keep/conn.rs
@@ -14,7 +14,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, watch};
 
-use super::answer::{self, Gather, Message, Step};
+use super::answer::{self, Assembler, Message, Step};
 use super::shard::Shard;
 
 /// User that statements run as.
@@ -27,7 +27,7 @@
 const LINGER: Duration = Duration::from_secs(10);
 
 /// Commands that may wait for a connection's task.
-pub(super) const COMMANDS: usize = 16;
+pub(super) const COMMAND_QUEUE: usize = 16;
 
 /// Bytes that a connection reads at once.
 const READ_BYTES: usize = 32 << 10;
@@ -88,12 +88,12 @@
 impl std::error::Error for Failure {}
 
 /// Tells the group that a connection is closed, however its task ended.
-pub(super) struct Closing {
+pub(super) struct CloseGuard {
     pub(super) shard: Arc<Shard>,
     pub(super) conn: Key<Connection>,
 }
 
-impl Drop for Closing {
+impl Drop for CloseGuard {
     fn drop(&mut self) {
         self.shard.forget(self.conn);
         self.shard.feed(Event::Closed { conn: self.conn });
@@ -102,15 +102,15 @@
 
 /// Starts a connection's task.
 pub(super) fn open(shard: &Arc<Shard>, conn: Key<Connection>, address: SocketAddr) -> Control {
-    let (commands, taken) = mpsc::channel(COMMANDS);
+    let (commands, taken) = mpsc::channel(COMMAND_QUEUE);
     let (paused, watched) = watch::channel(false);
     let shard = Arc::clone(shard);
     let task = tokio::spawn(async move {
         // held by the task, so that it is dropped also when the task is aborted
-        let closing = Closing { shard, conn };
-        let ran = run(&closing.shard, conn, address, taken, watched).await;
+        let guard = CloseGuard { shard, conn };
+        let ran = run(&guard.shard, conn, address, taken, watched).await;
         if let Err(report) = ran {
-            slog::debug!(closing.shard.log(), "connection ended"; "error" => format!("{report:?}"));
+            slog::debug!(guard.shard.log(), "connection ended"; "error" => format!("{report:?}"));
         }
     });
     Control { commands, paused, task: task.abort_handle() }
@@ -125,7 +125,7 @@
 ) -> Result<(), Report<Failure>> {
     let opened = tokio::time::timeout(OPEN_TIMEOUT, log_in(shard.name(), address)).await;
     let (read, write, buffer, cancel) = opened.change_context(Failure::Timeout)??;
-    let (bytes, written) = mpsc::channel(COMMANDS);
+    let (bytes, written) = mpsc::channel(COMMAND_QUEUE);
     let writer = tokio::spawn(write_all(write, written));
     shard.feed(Event::Opened { conn });
     let mut session = Session {
@@ -137,7 +137,7 @@
         buffer,
         bytes,
         due: Due::Nothing,
-        gather: Gather::default(),
+        assembler: Assembler::default(),
     };
     let ended = session.serve(commands, paused).await;
     if ended.is_ok() {
@@ -175,7 +175,7 @@
     buffer: BytesMut,
     bytes: mpsc::Sender<Bytes>,
     due: Due,
-    gather: Gather,
+    assembler: Assembler,
 }
 
 impl Session {
@@ -268,7 +268,7 @@
             self.step(message, &mut steps)?;
         }
         if self.due == Due::Cycle {
-            self.gather.flush(&mut steps);
+            self.assembler.flush(&mut steps);
         }
         self.pass(steps);
         self.buffer.reserve(READ_BYTES);
@@ -278,7 +278,7 @@
     fn step(&mut self, message: Message, steps: &mut Vec<Step>) -> Result<(), Report<Failure>> {
         match (self.due, message.kind) {
             (Due::Cycle, kind) => {
-                self.gather.add(message, steps).change_context(Failure::Disorder)?;
+                self.assembler.add(message, steps).change_context(Failure::Disorder)?;
                 if kind == b'Z' {
                     self.due = Due::Nothing;
                 }
@@ -307,7 +307,7 @@
         for step in steps {
             self.shard.feed(match step {
                 Step::Piece(piece) => Event::Piece { conn, piece },
-                Step::Over { status, failed } => Event::Cycle { conn, status, failed },
+                Step::Ready { status, failed } => Event::Cycle { conn, status, failed },
             });
         }
     }
--- a/components/entry/src/keep/follow.rs
+++ b/components/entry/src/keep/follow.rs
@@ -8,7 +8,7 @@
 use keeper::{Event, Lease, Setup, Solo};
 use wire::log;
 
-use super::shard::{Shard, Stand};
+use super::shard::{Revision, Shard};
 use super::{Host, lock};
 
 /// Longest time between looks at the lease.
@@ -21,7 +21,7 @@
     tell(&host);
     loop {
         let now = host.clock.now();
-        if leased != host.view.leased(now) {
+        if leased != host.view.has_lease(now) {
             leased = !leased;
             for shard in host.shards() {
                 shard.feed(Event::Leased(leased));
@@ -42,25 +42,25 @@
         let groups = state.groups.iter();
         let (index, version) = (state.index, state.version);
         let setups = groups.map(|(name, group)| {
-            let stand = Stand { index, version, term: group.term };
-            (name.clone(), stand, setup(host, state, name))
+            let revision = Revision { index, version, term: group.term };
+            (name.clone(), revision, setup(host, state, name))
         });
         setups.collect::<Vec<_>>()
     });
-    for (group, stand, setup) in setups {
+    for (group, revision, setup) in setups {
         let known = host.shard(group.as_str());
         if known.is_none() && setup.lease == Lease::None {
             continue;
         }
         let shard = known.unwrap_or_else(|| add(host, &group));
-        shard.set_up(stand, setup);
+        shard.configure(revision, setup);
     }
 }
 
 fn add(host: &Arc<Host>, group: &Name) -> Arc<Shard> {
     let shard = Shard::start(Arc::clone(host), group.clone());
     lock(&host.shards).insert(group.clone(), Arc::clone(&shard));
-    shard.feed(Event::Leased(host.view.leased(host.clock.now())));
+    shard.feed(Event::Leased(host.view.has_lease(host.clock.now())));
     shard
 }
 
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -54,7 +54,7 @@
         waiting || !self.farewell.load(Ordering::Acquire)
     }
 
-    fn tell(&self, body: answer::Body) {
+    fn send(&self, body: answer::Body) {
         if self.answers.try_send(Answer { body: Some(body) }).is_ok() {
             return;
         }
@@ -71,7 +71,7 @@
         let link = Arc::new(Link { answers, requests, task, farewell: AtomicBool::new(false) });
         lock(&self.links).insert(front, Arc::clone(&link));
         if self.closing.load(Ordering::Acquire) {
-            link.tell(answer::Body::Closing(Closing {}));
+            link.send(answer::Body::Closing(Closing {}));
         }
         (front, link)
     }
@@ -81,14 +81,14 @@
     }
 
     /// Sends a part to a front, if its link still stands.
-    pub(super) fn tell(&self, front: Front, body: answer::Body) {
+    pub(super) fn send(&self, front: Front, body: answer::Body) {
         let Some(link) = self.get(front) else {
             return;
         };
         if let answer::Body::End(end) = &body {
             lock(&link.requests).remove(&end.request);
         }
-        link.tell(body);
+        link.send(body);
     }
 
     /// Tells each front that the keeper is stopping.
@@ -96,7 +96,7 @@
         self.closing.store(true, Ordering::Release);
         let links: Vec<_> = lock(&self.links).values().map(Arc::clone).collect();
         for link in links {
-            link.tell(answer::Body::Closing(Closing {}));
+            link.send(answer::Body::Closing(Closing {}));
         }
     }
 
@@ -217,7 +217,7 @@
                 shard.feed(Event::Leave { front, caller: leave.caller });
             }
         }
-        ask::Body::Ping(_) => link.tell(answer::Body::Pong(Pong {})),
+        ask::Body::Ping(_) => link.send(answer::Body::Pong(Pong {})),
         ask::Body::Farewell(_) => link.farewell.store(true, Ordering::Release),
     }
 }
@@ -226,7 +226,7 @@
     let Some(shard) = host.shard(&run.group) else {
         let end = wrong_keeper(run.request);
         host.metrics.end(&end);
-        link.tell(answer::Body::End(end));
+        link.send(answer::Body::End(end));
         return;
     };
     lock(&link.requests).insert(run.request, Arc::clone(&shard));
--- a/components/entry/src/keep/mod.rs
+++ b/components/entry/src/keep/mod.rs
@@ -115,7 +115,7 @@
         for shard in self.host.shards() {
             shard.feed(Event::Close);
         }
-        while self.host.shards().iter().any(|shard| !shard.is_over()) {
+        while self.host.shards().iter().any(|shard| !shard.is_drained()) {
             tokio::time::sleep(CLOSE_STEP).await;
         }
         self.host.fronts.finish().await;
--- a/components/entry/src/keep/plain.rs
+++ b/components/entry/src/keep/plain.rs
@@ -19,7 +19,7 @@
 use wire::Message as _;
 use wire::plain::{Begin, Task, Value};
 
-use super::conn::{COMMANDS, Closing, Command, Control};
+use super::conn::{COMMAND_QUEUE, CloseGuard, Command, Control};
 use super::shard::Shard;
 
 /// Longest time for opening a connection.
@@ -57,15 +57,15 @@
     address: SocketAddr,
     dialect: Arc<dyn Dialect>,
 ) -> Control {
-    let (commands, taken) = mpsc::channel(COMMANDS);
+    let (commands, taken) = mpsc::channel(COMMAND_QUEUE);
     let (paused, _) = watch::channel(false);
     let shard = Arc::clone(shard);
     let task = tokio::spawn(async move {
         // held by the task, so that it is dropped also when the task is aborted
-        let closing = Closing { shard, conn };
-        let ran = run(&closing.shard, conn, server.clone(), address, dialect, taken).await;
+        let guard = CloseGuard { shard, conn };
+        let ran = run(&guard.shard, conn, server.clone(), address, dialect, taken).await;
         if let Err(report) = ran {
-            slog::debug!(closing.shard.log(), "connection ended"; "server" => %server,
+            slog::debug!(guard.shard.log(), "connection ended"; "server" => %server,
                 "error" => %report);
         }
     });
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -38,7 +38,7 @@
 
 /// Where the control state stands that a keeper is told of.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Stand {
+pub(super) struct Revision {
     /// Index of the last command applied.
     pub(super) index: u64,
     /// Version of the declarations.
@@ -104,38 +104,38 @@
         self.host.clock
     }
 
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_drained(&self) -> bool {
         lock(&self.inner).group.is_over()
     }
 
     /// Feeds an event and carries out what follows.
     pub(super) fn feed(self: &Arc<Self>, event: Event) {
         let now = self.host.clock.now();
-        lock(&self.inner).take(now, event, self.host.view.leased(now));
+        lock(&self.inner).take(now, event, self.host.view.has_lease(now));
         self.carry_out();
     }
 
     /// Takes a change of the control state in.
-    pub(super) fn set_up(self: &Arc<Self>, stand: Stand, setup: Setup) {
-        self.tell_change(stand, &setup);
+    pub(super) fn configure(self: &Arc<Self>, revision: Revision, setup: Setup) {
+        self.tell_change(revision, &setup);
         self.set_probers(&mut lock(&self.tools), &setup);
         self.feed(Event::Setup(setup));
     }
 
     /// One line when another primary, term or lease is learned of.
-    fn tell_change(&self, stand: Stand, setup: &Setup) {
+    fn tell_change(&self, revision: Revision, setup: &Setup) {
         let (primary, lease) = (setup.primary.clone(), setup.lease);
-        let belief = Belief { primary, term: stand.term, lease };
+        let belief = Belief { primary, term: revision.term, lease };
         let mut known = lock(&self.belief);
         if *known == belief {
             return;
         }
         let learned = Learned {
             group: &self.name,
-            index: stand.index,
-            version: stand.version,
+            index: revision.index,
+            version: revision.version,
             primary: setup.primary.as_ref(),
-            term: stand.term.0,
+            term: revision.term.0,
             lease: setup.lease.into(),
         };
         learned.log(&self.host.log);
@@ -209,11 +209,11 @@
             Effect::Pause { conn } => tools.pause(conn, true),
             Effect::Resume { conn } => tools.pause(conn, false),
             Effect::Part { front, part } => {
-                self.host.fronts.tell(front, answer::Body::Part(part));
+                self.host.fronts.send(front, answer::Body::Part(part));
             }
             Effect::End { front, end } => {
                 self.host.metrics.end(&end);
-                self.host.fronts.tell(front, answer::Body::End(end));
+                self.host.fronts.send(front, answer::Body::End(end));
             }
             Effect::Sample { server } => {
                 if let Some(prober) = tools.probers.get(&server) {
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether the lease still runs.
-    pub fn leased(&self, now: Instant) -> bool {
+    pub fn has_lease(&self, now: Instant) -> bool {
         now < self.lease_until()
     }
 
@@ -85,13 +85,13 @@
     }
 
     /// Extends the lease; an earlier end changes nothing.
-    pub fn extend(&self, until: Instant) {
+    pub fn extend_lease(&self, until: Instant) {
         self.shared.lease_until.fetch_max(until.as_micros(), Ordering::AcqRel);
         self.shared.leased.notify_waiters();
     }
 
     /// Waits until the lease is extended, for `limit` at most.
-    pub async fn extended(&self, limit: Duration) {
+    pub async fn wait_for_extension(&self, limit: Duration) {
         drop(tokio::time::timeout(limit, self.shared.leased.notified()).await);
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Waits until a group is sealed.
-    pub async fn sealed(&self) {
+    pub async fn wait_for_seal(&self) {
         self.shared.sealed.notified().await;
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Waits until a group is given up.
-    pub async fn given_up(&self) {
+    pub async fn wait_for_given_up(&self) {
         self.shared.given_up.notified().await;
     }
 
--- a/components/entry/tests/fake/mod.rs
+++ b/components/entry/tests/fake/mod.rs
@@ -293,7 +293,7 @@
     let (view, _) = View::new();
     let clock = Clock::start();
     view.write(|known| *known = state(keepers));
-    view.extend(clock.now() + lease);
+    view.extend_lease(clock.now() + lease);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let front = front::start(front::Settings {
--- a/components/entry/tests/follow.rs
+++ b/components/entry/tests/follow.rs
@@ -100,7 +100,7 @@
 }
 
 async fn leased(entry: &Entry) {
-    while !entry.view.leased(entry.clock.now()) {
+    while !entry.view.has_lease(entry.clock.now()) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
@@ -223,14 +223,14 @@
     let configure = Command { body: Some(command::Body::Configure(configure)) };
     let commands = [configure, assign(0, false), assign(1, true)];
     for (at, command) in commands.into_iter().enumerate() {
-        assert!(!progress.has_news(&view));
+        assert!(!progress.has_reduced_lease(&view));
         let entry = messages::Entry { index: at as u64 + 1, command: Some(command) };
         let entries = Entries { entries: vec![entry] };
         progress.on(&view, Down { body: Some(down::Body::Entries(entries)) }).unwrap();
     }
-    assert!(progress.has_news(&view));
+    assert!(progress.has_reduced_lease(&view));
     assert_eq!(progress.beat(Instant::ZERO, &view, &mut Vec::new()).applied, 3);
-    assert!(!progress.has_news(&view));
+    assert!(!progress.has_reduced_lease(&view));
 }
 
 #[tokio::test]
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -477,7 +477,7 @@
     assert_eq!(code(connect(&bench.config()).await), "57P03");
     open.simple_query("COMMIT").await.unwrap();
     // a lease that is back opens the entry again
-    bench.view.extend(Instant::from_millis(u64::from(u32::MAX)));
+    bench.view.extend_lease(Instant::from_millis(u64::from(u32::MAX)));
     let client = bench.connect().await;
     assert_eq!(rows(&client, "select 1").await.unwrap(), ["select 1"]);
 }
--- a/components/entry/tests/keep.rs
+++ b/components/entry/tests/keep.rs
@@ -75,7 +75,7 @@
     let group = Group::start(settings).await.unwrap();
     let (view, _symptoms) = View::new();
     view.write(|state| install(state, &group));
-    view.extend(Instant::from_millis(3_600_000));
+    view.extend_lease(Instant::from_millis(3_600_000));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let metrics = telemetry::web::Metrics::default();
--- a/components/entry/tests/whole.rs
+++ b/components/entry/tests/whole.rs
@@ -105,7 +105,7 @@
     let state = state(&group, &entries);
     for (_, handle) in &entries {
         handle.view().write(|known| known.clone_from(&state));
-        handle.view().extend(Instant::from_millis(3_600_000));
+        handle.view().extend_lease(Instant::from_millis(3_600_000));
     }
     Bench { group, entries }
 }
@@ -184,7 +184,7 @@
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     let (_, keeper) = bench.entries.remove(0);
-    keeper.stop_as(Stop { balancer: Duration::ZERO, limit: Duration::from_secs(5) }).await;
+    keeper.stop_with(Stop { balancer: Duration::ZERO, limit: Duration::from_secs(5) }).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     stop.send_replace(true);
     let mut written = 0;
--- a/programs/trefoil-entry/src/cmd/run.rs
+++ b/programs/trefoil-entry/src/cmd/run.rs
@@ -56,7 +56,7 @@
     info!(log, "started"; "callers" => %addresses.callers, "link" => %addresses.link,
         "web" => %addresses.web);
     told(terminate, interrupt).await;
-    handle.stop_as(stop).await;
+    handle.stop_with(stop).await;
     ExitCode::SUCCESS
 }
 
