--- a/components/entry/src/keep/answer.rs
+++ b/components/entry/src/keep/answer.rs
@@ -1,58 +1,59 @@
-//! What a backend server answers, cut into pieces at message bounds.
+//! Splits the answers of a backend server into pieces at message boundaries.
 //!
-//! Only type byte and length of a message are looked at, but for the few that
-//! decide: the tag of a completed command, the status of ReadyForQuery, and the
+//! Only the type byte and the length of a message are read, with three
+//! exceptions: the tag of a completed command, the status of ReadyForQuery, and the
 //! one row of a mark.
 
 use base::prelude::*;
 use bytes::{Buf, BytesMut};
 use keeper::{Kind, Piece};
 
-/// Bytes of type and length before a message's body.
-pub(super) const HEAD_BYTES: usize = 5;
+/// Length of a message header, its type byte and length field.
+pub(super) const HEADER_BYTES: usize = 5;
 
-/// Longest message in bytes; a piece must fit into a link's frame.
-const MESSAGE_BYTES: usize = 3 << 20;
+/// Limit on the length of a message; a piece must fit into a frame of a link.
+const MAX_MESSAGE_BYTES: usize = 3 << 20;
 
-/// Bytes after which a piece is passed on.
+/// Length at which a piece is emitted before the cycle has ended.
 const PIECE_BYTES: usize = 64 << 10;
 
-/// Tags of statements that commit, or may by themselves.
-const COMMITS: [&[u8]; 3] = [b"COMMIT", b"CALL", b"DO"];
+/// Command tags of statements that commit or may commit by themselves.
+const COMMIT_TAGS: [&[u8]; 3] = [b"COMMIT", b"CALL", b"DO"];
 
-/// Why an answer can't be read on.
+/// Error that makes the rest of an answer unreadable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub(super) enum Failure {
-    /// A message is too long.
+    /// A message is longer than [`MAX_MESSAGE_BYTES`], or its length is invalid.
     Oversized,
-    /// A message that was not due.
+    /// The server sent a message that is not allowed here.
     Disorder,
 }
 
 impl std::error::Error for Failure {}
 
-/// One message.
+/// One message of a backend server.
 #[derive(Debug)]
 pub(super) struct Message {
+    /// Type byte.
     pub(super) kind: u8,
-    /// All of it, head and body.
+    /// The complete message, header and body.
     pub(super) bytes: BytesMut,
 }
 
 impl Message {
     pub(super) fn body(&self) -> &[u8] {
-        &self.bytes[HEAD_BYTES..]
+        &self.bytes[HEADER_BYTES..]
     }
 }
 
-/// Takes the next whole message out of a buffer.
-pub(super) fn take(buffer: &mut BytesMut) -> Result<Option<Message>, Report<Failure>> {
-    let Some(head) = buffer.first_chunk::<HEAD_BYTES>() else {
+/// Removes the next complete message from a buffer.
+pub(super) fn next_message(buffer: &mut BytesMut) -> Result<Option<Message>, Report<Failure>> {
+    let Some(header) = buffer.first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
     };
-    let kind = head[0];
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize + 1;
-    if !(HEAD_BYTES..=MESSAGE_BYTES).contains(&length) {
+    let kind = header[0];
+    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize + 1;
+    if !(HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(Report::new(Failure::Oversized));
     }
     if buffer.len() < length {
@@ -62,21 +63,21 @@
     Ok(Some(Message { kind, bytes: buffer.split_to(length) }))
 }
 
-/// What comes of a message.
+/// Result of adding messages to an [`Assembler`].
 #[derive(Debug)]
 pub(super) enum Step {
-    /// A piece is whole.
+    /// A piece is complete.
     Piece(Piece),
-    /// The cycle is over.
+    /// ReadyForQuery ended the cycle.
     Ready {
-        /// Status byte.
+        /// Transaction status byte: I, T or E.
         status: u8,
-        /// Whether an error came.
+        /// Whether the cycle contained an error.
         failed: bool,
     },
 }
 
-/// Gathers the messages of one cycle.
+/// Assembles the messages of a query cycle into pieces.
 #[derive(Debug, Default)]
 pub(super) struct Assembler {
     bytes: BytesMut,
@@ -85,7 +86,7 @@
 }
 
 impl Assembler {
-    /// Takes a message in; puts out what is whole.
+    /// Adds a message and appends the steps that it completes to `out`.
     pub(super) fn add(
         &mut self,
         message: Message,
@@ -99,16 +100,17 @@
                 return Ok(());
             }
             b'A' => return Ok(()),
-            // a COPY from or to the server needs what a cycle does not carry
+            // COPY with the client as source or destination is not supported: the link
+            // carries no copy data within a cycle
             b'G' | b'W' => return Err(Report::new(Failure::Disorder)),
             _ => {}
         }
-        let kind = kind(&message);
+        let kind = piece_kind(&message);
         self.failed |= message.kind == b'E';
-        if self.kind.is_some_and(|gathered| kind > gathered) {
+        if self.kind.is_some_and(|current| kind > current) {
             self.flush(out);
         }
-        self.kind = Some(self.kind.map_or(kind, |gathered| gathered.max(kind)));
+        self.kind = Some(self.kind.map_or(kind, |current| current.max(kind)));
         self.bytes.unsplit(message.bytes);
         if self.bytes.len() >= PIECE_BYTES {
             self.flush(out);
@@ -116,7 +118,7 @@
         Ok(())
     }
 
-    /// Puts out what is gathered.
+    /// Appends the messages collected so far to `out` as a piece.
     pub(super) fn flush(&mut self, out: &mut Vec<Step>) {
         if let Some(kind) = self.kind.take() {
             let bytes = self.bytes.split().freeze();
@@ -125,31 +127,31 @@
     }
 }
 
-fn kind(message: &Message) -> Kind {
+fn piece_kind(message: &Message) -> Kind {
     match message.kind {
-        b'C' if commits(message.body()) => Kind::Commit,
+        b'C' if is_commit_tag(message.body()) => Kind::Commit,
         b'C' | b'I' | b'E' => Kind::Complete,
         _ => Kind::Plain,
     }
 }
 
-fn commits(tag: &[u8]) -> bool {
+fn is_commit_tag(tag: &[u8]) -> bool {
     let word = tag.split(|byte| matches!(byte, 0 | b' ')).next().unwrap_or_default();
-    COMMITS.contains(&word)
+    COMMIT_TAGS.contains(&word)
 }
 
-/// Reads the row of a mark: term and position as text.
-pub(super) fn mark(message: &Message) -> Option<Mark> {
+/// Parses the row of a mark: term and position as text.
+pub(super) fn parse_mark(message: &Message) -> Option<Mark> {
     let mut body = message.body();
     if body.remaining() < 2 || body.get_u16() < 2 {
         return None;
     }
-    let term = number(&mut body)?;
-    let position = number(&mut body)?;
+    let term = parse_number(&mut body)?;
+    let position = parse_number(&mut body)?;
     Some(Mark::new(term, position))
 }
 
-fn number(body: &mut &[u8]) -> Option<u64> {
+fn parse_number(body: &mut &[u8]) -> Option<u64> {
     let length = body.try_get_u32().ok()? as usize;
     let text = body.get(..length)?;
     body.advance(length);
--- a/components/entry/src/keep/conn.rs
+++ b/components/entry/src/keep/conn.rs
@@ -1,7 +1,8 @@
-//! One connection to a backend server.
+//! One PostgreSQL connection to a backend server.
 //!
-//! Its task opens it, writes what the group sends, and turns what comes back
-//! into events. It ends with [`Event::Closed`], once the socket is closed.
+//! The connection's task opens the socket, writes what the group sends, and
+//! turns the server's answers into events. The last event of a connection is
+//! [`Event::Closed`], sent once the socket is closed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,27 +18,27 @@
 use super::answer::{self, Assembler, Message, Step};
 use super::shard::Shard;
 
-/// User that statements run as.
+/// Database user for all statements.
 const USER: &str = "trefoil";
 
-/// Longest time for opening a connection.
+/// Timeout for connecting and logging in.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest time that a server may take to end a closed connection.
-const LINGER: Duration = Duration::from_secs(10);
+/// Longest wait for the server to close its end of a terminated connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Commands that may wait for a connection's task.
+/// Length of a connection's command queue.
 pub(super) const COMMAND_QUEUE: usize = 16;
 
-/// Bytes that a connection reads at once.
+/// Bytes of buffer space for one read from the socket.
 const READ_BYTES: usize = 32 << 10;
 
-const PROTOCOL: u32 = 3 << 16;
-const CANCEL: u32 = 80_877_102;
-const TERMINATE: &[u8] = &[b'X', 0, 0, 0, 4];
+const PROTOCOL_VERSION: u32 = 3 << 16;
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const TERMINATE_MESSAGE: &[u8] = &[b'X', 0, 0, 0, 4];
 const MARK_QUERY: &str = "SELECT * FROM trefoil_mark()";
 
-/// What a group asks of a connection.
+/// Command from a group to a connection.
 #[derive(Debug)]
 pub(super) enum Command {
     Send { bytes: Bytes, wait: Option<Mark> },
@@ -47,16 +48,17 @@
     Close,
 }
 
-/// The group's end of a connection.
+/// Handle with which a group controls a connection's task.
 #[derive(Debug)]
 pub(super) struct Control {
     pub(super) commands: mpsc::Sender<Command>,
+    /// Whether the task should stop reading from the server.
     pub(super) paused: watch::Sender<bool>,
     pub(super) task: tokio::task::AbortHandle,
 }
 
 impl Control {
-    /// Passes a command on; a connection that takes none is ended.
+    /// Queues a command; aborts the connection if its queue is full or closed.
     pub(super) fn send(&self, command: Command) {
         if self.commands.try_send(command).is_err() {
             self.task.abort();
@@ -72,22 +74,23 @@
     }
 }
 
-/// Why a connection ended.
+/// Reason for the failure of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 enum Failure {
     /// The socket failed or was closed by the server.
     Io,
-    /// It took too long.
+    /// Connecting and logging in took longer than [`OPEN_TIMEOUT`].
     Timeout,
-    /// The server refused the login, or asked for a password.
+    /// The server refused the login or asked for a password.
     Login,
-    /// An answer came that was not due.
+    /// The server sent a message that was not expected.
     Disorder,
 }
 
 impl std::error::Error for Failure {}
 
-/// Tells the group that a connection is closed, however its task ended.
+/// Guard that reports a connection as closed to its group when dropped, however
+/// the connection's task ended.
 pub(super) struct CloseGuard {
     pub(super) shard: Arc<Shard>,
     pub(super) conn: Key<Connection>,
@@ -95,21 +98,21 @@
 
 impl Drop for CloseGuard {
     fn drop(&mut self) {
-        self.shard.forget(self.conn);
+        self.shard.remove(self.conn);
         self.shard.feed(Event::Closed { conn: self.conn });
     }
 }
 
 /// Starts a connection's task.
 pub(super) fn open(shard: &Arc<Shard>, conn: Key<Connection>, address: SocketAddr) -> Control {
-    let (commands, taken) = mpsc::channel(COMMAND_QUEUE);
-    let (paused, watched) = watch::channel(false);
+    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
+    let (paused, pause_changes) = watch::channel(false);
     let shard = Arc::clone(shard);
     let task = tokio::spawn(async move {
-        // held by the task, so that it is dropped also when the task is aborted
+        // owned by the task, so that the guard is also dropped when the task is aborted
         let guard = CloseGuard { shard, conn };
-        let ran = run(&guard.shard, conn, address, taken, watched).await;
-        if let Err(report) = ran {
+        let result = run(&guard.shard, conn, address, command_queue, pause_changes).await;
+        if let Err(report) = result {
             slog::debug!(guard.shard.log(), "connection ended"; "error" => format!("{report:?}"));
         }
     });
@@ -124,26 +127,26 @@
     paused: watch::Receiver<bool>,
 ) -> Result<(), Report<Failure>> {
     let opened = tokio::time::timeout(OPEN_TIMEOUT, log_in(shard.name(), address)).await;
-    let (read, write, buffer, cancel) = opened.change_context(Failure::Timeout)??;
-    let (bytes, written) = mpsc::channel(COMMAND_QUEUE);
-    let writer = tokio::spawn(write_all(write, written));
+    let (read, write, buffer, cancel_key) = opened.change_context(Failure::Timeout)??;
+    let (bytes, outgoing) = mpsc::channel(COMMAND_QUEUE);
+    let writer = tokio::spawn(write_all(write, outgoing));
     shard.feed(Event::Opened { conn });
     let mut session = Session {
         shard: Arc::clone(shard),
         conn,
         address,
-        cancel,
+        cancel_key,
         read,
         buffer,
         bytes,
-        due: Due::Nothing,
+        expected: Expected::Nothing,
         assembler: Assembler::default(),
     };
     let ended = session.serve(commands, paused).await;
     if ended.is_ok() {
-        session.leave().await;
+        session.terminate().await;
     }
-    // the socket is closed when both of its halves are
+    // the socket closes only after both of its halves are dropped
     drop(session);
     writer.abort();
     drop(writer.await);
@@ -158,11 +161,13 @@
     }
 }
 
-/// What is due from the server.
+/// Answer that is expected from the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Due {
+enum Expected {
     Nothing,
+    /// Messages of a query cycle, up to ReadyForQuery.
     Cycle,
+    /// Answer to [`MARK_QUERY`], with the mark once its row has been read.
     Mark(Option<Mark>),
 }
 
@@ -170,11 +175,13 @@
     shard: Arc<Shard>,
     conn: Key<Connection>,
     address: SocketAddr,
-    cancel: Option<Bytes>,
+    /// Body of the server's `BackendKeyData` message, for cancel requests.
+    cancel_key: Option<Bytes>,
     read: OwnedReadHalf,
     buffer: BytesMut,
+    /// Queue of the task that writes to the socket.
     bytes: mpsc::Sender<Bytes>,
-    due: Due,
+    expected: Expected,
     assembler: Assembler,
 }
 
@@ -189,49 +196,50 @@
             tokio::select! {
                 command = commands.recv() => match command {
                     None | Some(Command::Close) => return Ok(()),
-                    Some(command) => self.obey(command)?,
+                    Some(command) => self.execute(command)?,
                 },
                 _ = paused.changed() => {}
                 read = self.read.read_buf(&mut self.buffer), if reads => {
                     if read.change_context(Failure::Io)? == 0 {
                         return Err(Report::new(Failure::Io));
                     }
-                    self.digest()?;
+                    self.process_buffer()?;
                 }
             }
         }
     }
 
-    /// Ends the session and waits until the server has closed it: a statement
-    /// that still runs holds its slot and connection there until then.
-    async fn leave(&mut self) {
-        if self.due == Due::Cycle {
+    /// Terminates the session and waits until the server has closed the
+    /// connection: until then, a statement that still runs occupies a slot and a
+    /// connection on the server.
+    async fn terminate(&mut self) {
+        if self.expected == Expected::Cycle {
             self.cancel();
         }
-        drop(self.bytes.try_send(Bytes::from_static(TERMINATE)));
-        // the writer ends with its last sender and shuts its half down
+        drop(self.bytes.try_send(Bytes::from_static(TERMINATE_MESSAGE)));
+        // dropping the last sender ends the writer, which then shuts down its half
         (self.bytes, _) = mpsc::channel(1);
         let drained = async {
-            let mut scrap = BytesMut::with_capacity(READ_BYTES);
-            while self.read.read_buf(&mut scrap).await.is_ok_and(|read| read > 0) {
-                scrap.clear();
+            let mut discarded = BytesMut::with_capacity(READ_BYTES);
+            while self.read.read_buf(&mut discarded).await.is_ok_and(|read| read > 0) {
+                discarded.clear();
             }
         };
-        drop(tokio::time::timeout(LINGER, drained).await);
+        drop(tokio::time::timeout(CLOSE_TIMEOUT, drained).await);
     }
 
-    fn obey(&mut self, command: Command) -> Result<(), Report<Failure>> {
+    fn execute(&mut self, command: Command) -> Result<(), Report<Failure>> {
         let bytes = match command {
             Command::Send { bytes, .. } => {
-                self.due = Due::Cycle;
+                self.expected = Expected::Cycle;
                 bytes
             }
             Command::RollBack => {
-                self.due = Due::Cycle;
+                self.expected = Expected::Cycle;
                 query("ROLLBACK")
             }
             Command::Mark => {
-                self.due = Due::Mark(None);
+                self.expected = Expected::Mark(None);
                 query(MARK_QUERY)
             }
             Command::Cancel => {
@@ -244,14 +252,14 @@
     }
 
     fn cancel(&self) {
-        let Some(body) = self.cancel.clone() else {
+        let Some(body) = self.cancel_key.clone() else {
             return;
         };
         let address = self.address;
         tokio::spawn(async move {
             let mut bytes = BytesMut::with_capacity(16);
             bytes.put_u32(16);
-            bytes.put_u32(CANCEL);
+            bytes.put_u32(CANCEL_REQUEST_CODE);
             bytes.put_slice(&body);
             if let Ok(mut stream) = TcpStream::connect(address).await {
                 drop(stream.write_all(&bytes).await);
@@ -259,42 +267,46 @@
         });
     }
 
-    /// Takes in all whole messages that have come.
-    fn digest(&mut self) -> Result<(), Report<Failure>> {
+    /// Processes all complete messages in the read buffer.
+    fn process_buffer(&mut self) -> Result<(), Report<Failure>> {
         let mut steps = Vec::new();
         while let Some(message) =
-            answer::take(&mut self.buffer).change_context(Failure::Disorder)?
+            answer::next_message(&mut self.buffer).change_context(Failure::Disorder)?
         {
-            self.step(message, &mut steps)?;
+            self.process_message(message, &mut steps)?;
         }
-        if self.due == Due::Cycle {
+        if self.expected == Expected::Cycle {
             self.assembler.flush(&mut steps);
         }
-        self.pass(steps);
+        self.feed_steps(steps);
         self.buffer.reserve(READ_BYTES);
         Ok(())
     }
 
-    fn step(&mut self, message: Message, steps: &mut Vec<Step>) -> Result<(), Report<Failure>> {
-        match (self.due, message.kind) {
-            (Due::Cycle, kind) => {
+    fn process_message(
+        &mut self,
+        message: Message,
+        steps: &mut Vec<Step>,
+    ) -> Result<(), Report<Failure>> {
+        match (self.expected, message.kind) {
+            (Expected::Cycle, kind) => {
                 self.assembler.add(message, steps).change_context(Failure::Disorder)?;
                 if kind == b'Z' {
-                    self.due = Due::Nothing;
+                    self.expected = Expected::Nothing;
                 }
                 Ok(())
             }
-            // news that no statement asked for, and the frame of a mark's row
-            (Due::Nothing | Due::Mark(_), b'N' | b'S' | b'A') | (Due::Mark(_), b'T' | b'C') => {
-                Ok(())
-            }
-            (Due::Mark(None), b'D') => {
-                let mark = answer::mark(&message).ok_or(Failure::Disorder)?;
-                self.due = Due::Mark(Some(mark));
+            // asynchronous messages (notice, parameter status, notification), and the
+            // messages around the row of a mark
+            (Expected::Nothing | Expected::Mark(_), b'N' | b'S' | b'A')
+            | (Expected::Mark(_), b'T' | b'C') => Ok(()),
+            (Expected::Mark(None), b'D') => {
+                let mark = answer::parse_mark(&message).ok_or(Failure::Disorder)?;
+                self.expected = Expected::Mark(Some(mark));
                 Ok(())
             }
-            (Due::Mark(Some(mark)), b'Z') => {
-                self.due = Due::Nothing;
+            (Expected::Mark(Some(mark)), b'Z') => {
+                self.expected = Expected::Nothing;
                 self.shard.feed(Event::Marked { conn: self.conn, mark });
                 Ok(())
             }
@@ -302,7 +314,7 @@
         }
     }
 
-    fn pass(&self, steps: Vec<Step>) {
+    fn feed_steps(&self, steps: Vec<Step>) {
         let conn = self.conn;
         for step in steps {
             self.shard.feed(match step {
@@ -321,14 +333,16 @@
     let (mut read, mut write) = stream.into_split();
     write.write_all(&startup(database.as_str())).await.change_context(Failure::Io)?;
     let mut buffer = BytesMut::with_capacity(READ_BYTES);
-    let mut cancel = None;
+    let mut cancel_key = None;
     loop {
-        while let Some(message) = answer::take(&mut buffer).change_context(Failure::Login)? {
+        while let Some(message) =
+            answer::next_message(&mut buffer).change_context(Failure::Login)?
+        {
             match message.kind {
                 b'R' if message.body() == [0; 4] => {}
                 b'R' | b'E' => return Err(Report::new(Failure::Login)),
-                b'K' => cancel = Some(Bytes::copy_from_slice(message.body())),
-                b'Z' => return Ok((read, write, buffer, cancel)),
+                b'K' => cancel_key = Some(Bytes::copy_from_slice(message.body())),
+                b'Z' => return Ok((read, write, buffer, cancel_key)),
                 _ => {}
             }
         }
@@ -341,7 +355,7 @@
 fn startup(database: &str) -> Bytes {
     let pairs = [("user", USER), ("database", database), ("application_name", "trefoillink")];
     let mut body = BytesMut::new();
-    body.put_u32(PROTOCOL);
+    body.put_u32(PROTOCOL_VERSION);
     for (key, value) in pairs {
         for text in [key, value] {
             body.put_slice(text.as_bytes());
--- a/components/entry/src/keep/follow.rs
+++ b/components/entry/src/keep/follow.rs
@@ -1,4 +1,4 @@
-//! Changes of the control state and of the lease, told to the shards.
+//! Passes changes of the control state and of the entry's lease to the shards.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
 use super::shard::{Revision, Shard};
 use super::{Host, lock};
 
-/// Longest time between looks at the lease.
-const STEP: Duration = Duration::from_millis(20);
+/// Longest time between two checks of the lease.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Follows the view until the task is ended.
+/// Follows the view until the task is aborted.
 pub(super) async fn run(host: Arc<Host>) {
     let mut changes = host.view.changes();
     let mut leased = false;
-    tell(&host);
+    configure_shards(&host);
     loop {
         let now = host.clock.now();
         if leased != host.view.has_lease(now) {
@@ -28,16 +28,17 @@
             }
         }
         let left = host.view.lease_until().since(now);
-        let wait = if left.is_zero() { STEP } else { left.min(STEP) };
+        let wait =
+            if left.is_zero() { LEASE_CHECK_INTERVAL } else { left.min(LEASE_CHECK_INTERVAL) };
         if let Ok(Ok(())) = tokio::time::timeout(wait, changes.changed()).await {
             changes.borrow_and_update();
-            tell(&host);
+            configure_shards(&host);
         }
     }
 }
 
-/// Tells each shard what concerns it; makes one for each lease that is new.
-fn tell(host: &Arc<Host>) {
+/// Passes each shard its new setup; starts a shard for each new lease.
+fn configure_shards(host: &Arc<Host>) {
     let setups = host.view.read(|state| {
         let groups = state.groups.iter();
         let (index, version) = (state.index, state.version);
@@ -52,12 +53,12 @@
         if known.is_none() && setup.lease == Lease::None {
             continue;
         }
-        let shard = known.unwrap_or_else(|| add(host, &group));
+        let shard = known.unwrap_or_else(|| add_shard(host, &group));
         shard.configure(revision, setup);
     }
 }
 
-fn add(host: &Arc<Host>, group: &Name) -> Arc<Shard> {
+fn add_shard(host: &Arc<Host>, group: &Name) -> Arc<Shard> {
     let shard = Shard::start(Arc::clone(host), group.clone());
     lock(&host.shards).insert(group.clone(), Arc::clone(&shard));
     shard.feed(Event::Leased(host.view.has_lease(host.clock.now())));
@@ -66,21 +67,22 @@
 
 fn setup(host: &Host, state: &State, name: &Name) -> Setup {
     let group = state.groups.get(name);
-    let own = |lease: &&log::Lease| lease.incarnation == host.incarnation;
-    let lease = group.and_then(|group| group.lease(host.name.as_str())).filter(own);
+    let is_own = |lease: &&log::Lease| lease.incarnation == host.incarnation;
+    let lease = group.and_then(|group| group.lease(host.name.as_str())).filter(is_own);
     let seats = group.iter().flat_map(|group| &group.seats);
     let declared = state.declarations.groups.get(name).map(|group| group.servers);
-    let solo = group.filter(|_| state.acknowledges(name.as_str()));
+    let unfenced = group.filter(|_| state.acknowledges(name.as_str()));
     let settled = group.is_some_and(|group| group.phase == Phase::Settled);
-    let seated = group.map_or(0, |group| group.seats.len() as u32);
+    let seat_count = group.map_or(0, |group| group.seats.len() as u32);
     Setup {
-        // such a server's own answer is all that an acknowledgement needs
-        declared: if solo.is_some() { 1 } else { declared.unwrap_or(seated) },
+        // a server of an unfenced group acknowledges by itself, without confirmation
+        // from other servers
+        declared: if unfenced.is_some() { 1 } else { declared.unwrap_or(seat_count) },
         primary: group
-            .filter(|_| solo.is_none() || settled)
+            .filter(|_| unfenced.is_none() || settled)
             .and_then(|group| group.primary.clone()),
-        servers: seats.filter_map(|seat| server(state, lease, seat, solo.is_some())).collect(),
-        solo: solo.map(|group| Solo { term: group.term, index: state.index }),
+        servers: seats.filter_map(|seat| server(state, lease, seat, unfenced.is_some())).collect(),
+        solo: unfenced.map(|group| Solo { term: group.term, index: state.index }),
         lease: match lease {
             None => Lease::None,
             Some(lease) if lease.returning => Lease::Returning,
@@ -90,7 +92,12 @@
     }
 }
 
-fn server(state: &State, lease: Option<&log::Lease>, name: &Name, solo: bool) -> Option<Server> {
+fn server(
+    state: &State,
+    lease: Option<&log::Lease>,
+    name: &Name,
+    unfenced: bool,
+) -> Option<Server> {
     let server = state.servers.get(name)?;
     let share = lease.and_then(|lease| lease.shares.iter().find(|s| s.server == name.as_str()));
     let slots = share.map_or(0, |share| share.slots);
@@ -101,8 +108,9 @@
         zone: server.zone.clone(),
         labels: server.labels.clone(),
         connections: share.map_or(0, |share| share.connections),
-        // a server that queues by itself leaves no slot idle that a keeper has
-        slots: if solo && share.is_some() { server.slots } else { slots },
+        // a server of an unfenced group queues statements by itself and leaves no slot
+        // idle, so each keeper may use all of the slots
+        slots: if unfenced && share.is_some() { server.slots } else { slots },
         share: slots,
         leaving: server.leaving,
         expired: server.expired,
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -1,5 +1,5 @@
-//! Links of fronts: what they ask goes to the shards, what they get goes out
-//! by one writer for each link.
+//! Links from fronts: requests go to the shards, and answers are sent by one
+//! writer task per link.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -17,19 +17,20 @@
 use super::shard::Shard;
 use super::{Host, lock};
 
-/// Answers that may wait for a link's writer; a front that takes none is dropped.
-const ANSWERS: usize = 16 << 10;
+/// Length of a link's answer queue; a link whose queue is full is closed.
+const ANSWER_QUEUE: usize = 16 << 10;
 
-/// Bytes that are written at once.
+/// Number of buffered bytes at which a writer flushes while answers still wait.
 const FLUSH_BYTES: usize = 256 << 10;
 
-/// Pause after a failed accept, as when no file descriptor is left.
+/// Pause after a failed accept, for example when the process is out of file
+/// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest time for the last answers of a planned stop.
-const FINISH: Duration = Duration::from_secs(2);
+/// Timeout for sending the last answers of a graceful shutdown.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// All links that stand.
+/// All open links.
 #[derive(Debug, Default)]
 pub(super) struct Fronts {
     next: AtomicU64,
@@ -37,23 +38,25 @@
     closing: AtomicBool,
 }
 
-/// One link of a front.
+/// One link from a front.
 #[derive(Debug)]
 pub(super) struct Link {
     answers: mpsc::Sender<Answer>,
-    /// Where the open requests of the link run.
+    /// Shard of each open request of the link, by request number.
     requests: Mutex<HashMap<u64, Arc<Shard>>>,
+    /// Task that reads from the link; aborting it closes the link.
     task: Mutex<Option<AbortHandle>>,
-    /// Whether the front asks for nothing new.
+    /// Whether the front has announced that it sends no more requests.
     farewell: AtomicBool,
 }
 
 impl Link {
     fn is_busy(&self) -> bool {
-        let waiting = self.answers.capacity() < self.answers.max_capacity();
-        waiting || !self.farewell.load(Ordering::Acquire)
+        let has_answers = self.answers.capacity() < self.answers.max_capacity();
+        has_answers || !self.farewell.load(Ordering::Acquire)
     }
 
+    /// Queues an answer; closes the link if its queue is full or closed.
     fn send(&self, body: answer::Body) {
         if self.answers.try_send(Answer { body: Some(body) }).is_ok() {
             return;
@@ -80,7 +83,7 @@
         lock(&self.links).get(&front).map(Arc::clone)
     }
 
-    /// Sends a part to a front, if its link still stands.
+    /// Sends an answer to a front if its link is still open.
     pub(super) fn send(&self, front: Front, body: answer::Body) {
         let Some(link) = self.get(front) else {
             return;
@@ -91,7 +94,7 @@
         link.send(body);
     }
 
-    /// Tells each front that the keeper is stopping.
+    /// Tells each front that the keeper is shutting down.
     pub(super) fn close(&self) {
         self.closing.store(true, Ordering::Release);
         let links: Vec<_> = lock(&self.links).values().map(Arc::clone).collect();
@@ -100,20 +103,21 @@
         }
     }
 
-    /// Waits until each front asks for nothing new, so that no request is lost
-    /// on its way, and the writers have taken all answers.
+    /// Waits until each front has announced that it sends no more requests, so
+    /// that no request is lost in transit, and the writers have taken all answers.
     pub(super) async fn finish(&self) {
-        let waits = || lock(&self.links).values().any(|link| link.is_busy());
+        let is_busy = || lock(&self.links).values().any(|link| link.is_busy());
         let all = async {
-            while waits() {
+            while is_busy() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            // the last answers are with the writer, which flushes them next
+            // the writers have taken the last answers and are about to flush them
             tokio::time::sleep(Duration::from_millis(20)).await;
         };
-        drop(tokio::time::timeout(FINISH, all).await);
+        drop(tokio::time::timeout(FINISH_TIMEOUT, all).await);
     }
 
+    /// Closes all links at once.
     pub(super) fn clear(&self) {
         let links = std::mem::take(&mut *lock(&self.links));
         for link in links.values() {
@@ -124,13 +128,13 @@
     }
 }
 
-/// Forgets a link, however its task ended.
-struct Standing {
+/// Guard that unregisters a link when dropped, however the link's task ended.
+struct LinkGuard {
     host: Arc<Host>,
     front: Front,
 }
 
-impl Drop for Standing {
+impl Drop for LinkGuard {
     fn drop(&mut self) {
         lock(&self.host.fronts.links).remove(&self.front);
         for shard in self.host.shards() {
@@ -139,7 +143,7 @@
     }
 }
 
-/// Takes links until the task is ended.
+/// Accepts links until the task is aborted.
 pub(super) async fn accept(host: Arc<Host>, listener: TcpListener) {
     let mut links = JoinSet::new();
     loop {
@@ -147,7 +151,7 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => drop(links.spawn(serve(Arc::clone(&host), stream))),
                 Err(error) => {
-                    warn!(host.log, "accept failed"; "error" => %error);
+                    warn!(host.log, "failed to accept a link"; "error" => %error);
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             },
@@ -159,25 +163,25 @@
 async fn serve(host: Arc<Host>, stream: TcpStream) {
     let own = Peer::new(host.name.as_str(), host.incarnation, Purpose::Data);
     let (peer, reader, writer) = match link::accept(stream, &own, &host.key).await {
-        Ok(proved) => proved,
+        Ok(accepted) => accepted,
         Err(report) => {
-            debug!(host.log, "link refused"; "error" => format!("{report:?}"));
+            debug!(host.log, "link handshake failed"; "error" => format!("{report:?}"));
             return;
         }
     };
     if peer.purpose != Purpose::Data as i32 {
         return;
     }
-    let (answers, taken) = mpsc::channel(ANSWERS);
+    let (answers, answer_queue) = mpsc::channel(ANSWER_QUEUE);
     let (front, link) = host.fronts.add(answers);
-    let standing = Standing { host: Arc::clone(&host), front };
+    let guard = LinkGuard { host: Arc::clone(&host), front };
     let mut tasks = JoinSet::new();
     let reading = tasks.spawn(read(Arc::clone(&host), front, Arc::clone(&link), reader));
-    tasks.spawn(write(writer, taken));
+    tasks.spawn(write(writer, answer_queue));
     *lock(&link.task) = Some(reading);
-    // the first half to end ends the link
+    // the link ends when its reader or its writer ends
     drop(tasks.join_next().await);
-    drop(standing);
+    drop(guard);
 }
 
 async fn read(host: Arc<Host>, front: Front, link: Arc<Link>, mut reader: Reader) {
@@ -185,30 +189,30 @@
         match reader.next::<Ask>().await {
             Ok(Some(ask)) => {
                 if let Some(body) = ask.body {
-                    take(&host, front, &link, body);
+                    handle(&host, front, &link, body);
                 }
             }
             Ok(None) => return,
             Err(report) => {
-                debug!(host.log, "link of a front failed"; "error" => format!("{report:?}"));
+                debug!(host.log, "failed to read from a link"; "error" => format!("{report:?}"));
                 return;
             }
         }
     }
 }
 
-fn take(host: &Arc<Host>, front: Front, link: &Arc<Link>, body: ask::Body) {
-    let running = |request| lock(&link.requests).get(&request).map(Arc::clone);
+fn handle(host: &Arc<Host>, front: Front, link: &Arc<Link>, body: ask::Body) {
+    let shard_of = |request| lock(&link.requests).get(&request).map(Arc::clone);
     match body {
         ask::Body::Run(run) => start(host, front, link, run),
         ask::Body::Credit(credit) => {
-            if let Some(shard) = running(credit.request) {
+            if let Some(shard) = shard_of(credit.request) {
                 let (request, bytes) = (credit.request, credit.bytes);
                 shard.feed(Event::Credit { front, request, bytes });
             }
         }
         ask::Body::Cancel(cancel) => {
-            if let Some(shard) = running(cancel.request) {
+            if let Some(shard) = shard_of(cancel.request) {
                 shard.feed(Event::Cancel { front, request: cancel.request });
             }
         }
@@ -245,14 +249,14 @@
 
 async fn write(mut writer: Writer, mut answers: mpsc::Receiver<Answer>) {
     while let Some(answer) = answers.recv().await {
-        let mut put = writer.put(&answer);
-        while put.is_ok()
+        let mut written = writer.put(&answer);
+        while written.is_ok()
             && writer.pending() < FLUSH_BYTES
             && let Ok(answer) = answers.try_recv()
         {
-            put = writer.put(&answer);
+            written = writer.put(&answer);
         }
-        if put.is_err() || writer.flush().await.is_err() {
+        if written.is_err() || writer.flush().await.is_err() {
             return;
         }
     }
--- a/components/entry/src/keep/metrics.rs
+++ b/components/entry/src/keep/metrics.rs
@@ -1,4 +1,5 @@
-//! What a keeper counts. No series is kept for a service or a caller.
+//! Counters of a keeper. No label names a service or a caller, so the number of
+//! series stays bounded.
 
 use keeper::{Cause, Count};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -9,22 +10,22 @@
 use super::lock;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct EndLabels {
     outcome: String,
     reason: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Why {
+struct CauseLabel {
     cause: String,
 }
 
 /// Counters of a keeper.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Metrics {
-    ended: Family<Ended, Counter>,
+    ended: Family<EndLabels, Counter>,
     replica_reads: Counter,
-    primary_reads: Family<Why, Counter>,
+    primary_reads: Family<CauseLabel, Counter>,
     repeats: Counter,
     opened: Counter,
 }
@@ -62,10 +63,10 @@
     pub(super) fn end(&self, end: &End) {
         let outcome = Outcome::try_from(end.outcome).unwrap_or(Outcome::Missing).to_string();
         let reason = Reason::try_from(end.reason).unwrap_or(Reason::None).to_string();
-        self.ended.get_or_create(&Ended { outcome, reason }).inc();
+        self.ended.get_or_create(&EndLabels { outcome, reason }).inc();
     }
 
     fn primary_read(&self, cause: Cause) -> u64 {
-        self.primary_reads.get_or_create(&Why { cause: cause.to_string() }).inc()
+        self.primary_reads.get_or_create(&CauseLabel { cause: cause.to_string() }).inc()
     }
 }
--- a/components/entry/src/keep/mod.rs
+++ b/components/entry/src/keep/mod.rs
@@ -1,13 +1,15 @@
-//! The keeper's host: links of fronts on one side, connections to backend
-//! servers on the other, and one [`keeper::Group`] for each group in between.
+//! Input and output for the keeper: links from fronts on one side, connections
+//! to backend servers on the other, and one [`keeper::Group`] state machine for
+//! each group in between.
 //!
-//! - `shard`: one group under its lock, and its effects.
-//! - `front`: links that ask.
-//! - `conn`: a connection to a backend server; `answer` cuts what it reads.
-//! - `plain`: a connection that carries plain statements.
-//! - `probe`: reports of servers.
-//! - `follow`: changes of the control state.
-//! - `metrics`: what is counted.
+//! - `shard`: a group behind its lock, and the execution of its effects.
+//! - `front`: links from fronts, which carry requests and answers.
+//! - `conn`: a PostgreSQL connection to a backend server.
+//! - `answer`: splits the bytes from a backend server into pieces.
+//! - `plain`: a backend connection that carries plain statements.
+//! - `probe`: polls backend servers for status reports.
+//! - `follow`: passes changes of the control state to the shards.
+//! - `metrics`: counters of the keeper.
 
 mod answer;
 mod conn;
@@ -34,35 +36,36 @@
 use metrics::Metrics;
 use shard::Shard;
 
-/// Time between looks at whether all is finished.
-const CLOSE_STEP: Duration = Duration::from_millis(10);
+/// Time between checks for whether all shards are drained.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a keeper needs.
+/// Settings of a keeper.
 #[derive(Debug)]
 pub struct Settings {
     /// Name of the entry.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
-    /// Raised by each start of the entry.
+    /// Incarnation of the entry; each start of the entry raises it.
     pub incarnation: u64,
-    /// Takes links of fronts.
+    /// Listener that accepts links from fronts.
     pub listener: TcpListener,
-    /// Key of the links.
+    /// Key that authenticates links.
     pub key: link::Key,
-    /// The control state and the lease.
+    /// Control state and lease of the entry.
     pub view: View,
-    /// Source of the present time; the view's lease counts on the same.
+    /// Clock of the process; the lease in `view` is measured by the same clock.
     pub clock: Clock,
-    /// Protocol of servers that acknowledge by themselves.
+    /// Protocol of the servers of unfenced groups, which acknowledge commits by
+    /// themselves.
     pub dialect: Option<Arc<dyn Dialect>>,
-    /// Where metrics are registered.
+    /// Registry for the metrics of the keeper.
     pub metrics: telemetry::web::Metrics,
-    /// Where events are logged.
+    /// Logger for events.
     pub log: Logger,
 }
 
-/// What all parts of a keeper share.
+/// State that all tasks of a keeper share.
 #[derive(Debug)]
 struct Host {
     name: Name,
@@ -107,26 +110,26 @@
 }
 
 impl Handle {
-    /// Stops as planned: fronts are told, nothing new is taken, what runs is
-    /// finished, all connections are closed.
+    /// Shuts down gracefully: notifies the fronts, accepts no new requests,
+    /// finishes running requests and transactions, and closes all connections.
     pub async fn close(self) {
-        info!(self.host.log, "keeper closes");
+        info!(self.host.log, "keeper is shutting down");
         self.host.fronts.close();
         for shard in self.host.shards() {
             shard.feed(Event::Close);
         }
         while self.host.shards().iter().any(|shard| !shard.is_drained()) {
-            tokio::time::sleep(CLOSE_STEP).await;
+            tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
         self.host.fronts.finish().await;
     }
 
-    /// Drops all links and connections at once.
+    /// Drops all links and connections at once, without finishing requests.
     pub fn kill(self) {
         drop(self);
     }
 
-    fn end(&mut self) {
+    fn abort(&mut self) {
         self.tasks.abort_all();
         self.host.fronts.clear();
         let shards = std::mem::take(&mut *lock(&self.host.shards));
@@ -138,7 +141,7 @@
 
 impl Drop for Handle {
     fn drop(&mut self) {
-        self.end();
+        self.abort();
     }
 }
 
@@ -152,7 +155,8 @@
     }
 }
 
-/// Locks, also when a panic poisoned the lock: each change under these locks is whole.
+/// Locks a mutex even if a panic has poisoned it: each critical section on these
+/// locks leaves the data consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/components/entry/src/keep/plain.rs
+++ b/components/entry/src/keep/plain.rs
@@ -1,9 +1,10 @@
 //! One connection to a backend server that takes plain statements.
 //!
-//! Its session is brought into the state that a request needs before the
-//! statement runs: values are set where they differ, a statement is prepared
-//! where it is not yet, a transaction is begun. All that goes one by one, since
-//! what follows a step that failed must not run.
+//! Before a statement runs, the session on the connection is brought into the
+//! state that the request needs: values that differ are set, a statement that is
+//! not prepared yet is prepared, and a transaction is begun. Each step is sent
+//! only after the answer to the one before, since no step may run after one that
+//! has failed.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,28 +23,29 @@
 use super::conn::{COMMAND_QUEUE, CloseGuard, Command, Control};
 use super::shard::Shard;
 
-/// Longest time for opening a connection.
+/// Timeout for connecting, and again for starting the session.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes that a connection reads at once.
+/// Bytes of buffer space for one read from the socket.
 const READ_BYTES: usize = 4 << 10;
 
-/// Most bytes of rows in one answer.
-const ROWS_BYTES: usize = 1 << 20;
+/// Limit on the bytes of rows in one answer.
+const MAX_ROWS_BYTES: usize = 1 << 20;
 
-/// Prepared statements of a connection; beyond that it starts anew.
-const PREPARED: usize = 512;
+/// Number of prepared statements above which a connection resets its session.
+const MAX_PREPARED: usize = 512;
 
-/// Why a connection ended.
+/// Reason for the failure of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 enum Failure {
     /// The socket failed or was closed by the server.
     Io,
-    /// It took too long.
+    /// Connecting or starting the session took longer than [`OPEN_TIMEOUT`].
     Timeout,
-    /// The server refused the session.
+    /// The server refused to start the session.
     Refused,
-    /// An answer came that was not due, or that is too long.
+    /// The server sent an answer that was not expected or is too long, or the group
+    /// sent a command that cannot be executed.
     Disorder,
 }
 
@@ -57,14 +59,14 @@
     address: SocketAddr,
     dialect: Arc<dyn Dialect>,
 ) -> Control {
-    let (commands, taken) = mpsc::channel(COMMAND_QUEUE);
+    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
     let (paused, _) = watch::channel(false);
     let shard = Arc::clone(shard);
     let task = tokio::spawn(async move {
-        // held by the task, so that it is dropped also when the task is aborted
+        // owned by the task, so that the guard is also dropped when the task is aborted
         let guard = CloseGuard { shard, conn };
-        let ran = run(&guard.shard, conn, server.clone(), address, dialect, taken).await;
-        if let Err(report) = ran {
+        let result = run(&guard.shard, conn, server.clone(), address, dialect, command_queue).await;
+        if let Err(report) = result {
             slog::debug!(guard.shard.log(), "connection ended"; "server" => %server,
                 "error" => %report);
         }
@@ -130,17 +132,20 @@
     Ok(io)
 }
 
-/// What is done for one command.
+/// Progress of one command.
 #[derive(Debug)]
 struct Work {
-    /// Orders that are still to be sent, the first one next.
+    /// Orders that are still to be sent, the next one first.
     steps: VecDeque<Order>,
-    /// The order that waits for its answer.
+    /// Order that is waiting for its answer.
     current: Order,
+    /// Rows of the answer to the current order.
     rows: Vec<Bytes>,
+    /// Total length of `rows` in bytes.
     rows_bytes: usize,
     complete: Option<Bytes>,
     error: Option<(Fault, Bytes)>,
+    /// Time when the first order of the command was sent.
     sent: Instant,
 }
 
@@ -150,14 +155,15 @@
     dialect: Arc<dyn Dialect>,
     io: TcpStream,
     input: BytesMut,
-    /// Values that are set on the connection.
+    /// Session values that are set on the connection, by name.
     values: BTreeMap<Bytes, Bytes>,
-    /// Numbers of the statements that are prepared on it.
+    /// Numbers of the statements prepared on the connection, by access and shape.
     prepared: HashMap<(Access, Bytes), u64>,
     work: Option<Work>,
 }
 
 impl Session {
+    /// Starts the session on the server; returns the server's mark.
     async fn start(&mut self, start: Order) -> Result<Option<Mark>, Report<Failure>> {
         self.send(&start).await?;
         loop {
@@ -178,21 +184,21 @@
             tokio::select! {
                 command = commands.recv() => match command {
                     None | Some(Command::Close) => return Ok(()),
-                    Some(command) => self.obey(command).await?,
+                    Some(command) => self.execute(command).await?,
                 },
                 filled = fill(&mut self.io, &mut self.input) => {
                     filled?;
                     while let Some(reply) =
                         self.dialect.reply(&mut self.input).change_context(Failure::Disorder)?
                     {
-                        self.take(reply).await?;
+                        self.handle_reply(reply).await?;
                     }
                 }
             }
         }
     }
 
-    async fn obey(&mut self, command: Command) -> Result<(), Report<Failure>> {
+    async fn execute(&mut self, command: Command) -> Result<(), Report<Failure>> {
         let steps = match command {
             Command::Send { bytes, wait } => {
                 let task = Task::decode(bytes).change_context(Failure::Disorder)?;
@@ -200,21 +206,21 @@
             }
             Command::RollBack => VecDeque::from([Order::Rollback]),
             Command::Mark => VecDeque::from([Order::Status]),
-            // closing the connection is all that ends a statement
+            // a plain statement can only be cancelled by closing its connection
             Command::Cancel | Command::Close => return Ok(()),
         };
         if self.work.is_some() {
             return Err(Report::new(Failure::Disorder));
         }
         let sent = self.shard.clock().now();
-        self.next(steps, sent).await
+        self.send_next(steps, sent).await
     }
 
-    /// All that must be sent for a task, in order.
+    /// Returns the orders that must be sent for a task, in this sequence.
     fn steps(&mut self, task: &Task, wait: Option<Mark>) -> VecDeque<Order> {
         let mut steps = VecDeque::new();
-        let wanted = |name: &Bytes| task.values.iter().any(|value| value.name == *name);
-        if !self.values.keys().all(wanted) || self.prepared.len() > PREPARED {
+        let is_needed = |name: &Bytes| task.values.iter().any(|value| value.name == *name);
+        if !self.values.keys().all(is_needed) || self.prepared.len() > MAX_PREPARED {
             steps.push_back(Order::Reset);
             self.values.clear();
             self.prepared.clear();
@@ -229,19 +235,20 @@
             Begin::Write => Some(Access::Write),
             Begin::Read => Some(Access::Read),
         };
-        let (before, own) = if begin.is_some() { (wait, None) } else { (None, wait) };
-        let (prepare, statement) = self.statement(task, own);
+        let (begin_wait, statement_wait) =
+            if begin.is_some() { (wait, None) } else { (None, wait) };
+        let (prepare, statement) = self.statement_orders(task, statement_wait);
         steps.extend(prepare);
         if let Some(access) = begin {
-            steps.push_back(Order::Begin { wait: before, access });
+            steps.push_back(Order::Begin { wait: begin_wait, access });
         }
         steps.push_back(statement);
         steps
     }
 
-    /// The order that runs a task's statement, and the one that prepares it, if
-    /// that is not done yet.
-    fn statement(&self, task: &Task, wait: Option<Mark>) -> (Option<Order>, Order) {
+    /// Returns the order that prepares a task's statement, if it is not prepared
+    /// yet, and the order that runs the statement.
+    fn statement_orders(&self, task: &Task, wait: Option<Mark>) -> (Option<Order>, Order) {
         let id = task.id.clone();
         let Some(execute) = task.execute.clone() else {
             return (None, Order::Run { id, wait, text: task.text.clone() });
@@ -254,8 +261,8 @@
         (prepare, Order::Execute { id, wait, number, arguments: execute.arguments })
     }
 
-    /// Sends the first of the steps.
-    async fn next(
+    /// Sends the first of `steps` and keeps the rest for later.
+    async fn send_next(
         &mut self,
         mut steps: VecDeque<Order>,
         sent: Instant,
@@ -276,46 +283,50 @@
         Ok(())
     }
 
-    async fn take(&mut self, reply: Reply) -> Result<(), Report<Failure>> {
+    async fn handle_reply(&mut self, reply: Reply) -> Result<(), Report<Failure>> {
         let Some(work) = self.work.as_mut() else {
             return Err(Report::new(Failure::Disorder));
         };
-        let over = work.complete.is_some() || work.error.is_some();
+        let is_answered = work.complete.is_some() || work.error.is_some();
         match reply {
-            Reply::Row(row) if !over => {
+            Reply::Row(row) if !is_answered => {
                 work.rows_bytes += row.len();
                 work.rows.push(row);
-                if work.rows_bytes > ROWS_BYTES {
+                if work.rows_bytes > MAX_ROWS_BYTES {
                     return Err(Report::new(Failure::Disorder));
                 }
                 Ok(())
             }
-            Reply::Complete(complete) if !over => {
+            Reply::Complete(complete) if !is_answered => {
                 work.complete = Some(complete);
                 Ok(())
             }
-            Reply::Error { fault, text } if !over => {
+            Reply::Error { fault, text } if !is_answered => {
                 work.error = Some((fault, text));
                 Ok(())
             }
-            Reply::Ready { status, mark } if over => self.over(status, mark).await,
+            Reply::Ready { status, mark } if is_answered => self.finish_step(status, mark).await,
             _ => Err(Report::new(Failure::Disorder)),
         }
     }
 
-    /// Goes on to the next step, or tells the group that all is over.
-    async fn over(&mut self, status: Status, mark: Option<Mark>) -> Result<(), Report<Failure>> {
+    /// Sends the next step, or reports the end of the command to the group.
+    async fn finish_step(
+        &mut self,
+        status: Status,
+        mark: Option<Mark>,
+    ) -> Result<(), Report<Failure>> {
         let Some(work) = self.work.take() else {
             return Err(Report::new(Failure::Disorder));
         };
         let fault = work.error.as_ref().map(|(fault, _)| *fault);
-        self.learn(&work.current, fault);
+        self.record_step(&work.current, fault);
         if fault.is_none() && !work.steps.is_empty() {
-            return self.next(work.steps, work.sent).await;
+            return self.send_next(work.steps, work.sent).await;
         }
         let (conn, last) = (self.conn, work.steps.is_empty());
-        // a step before the statement failed, so the statement did not run
-        let fault = if last { fault } else { fault.map(not_run) };
+        // if a step before the statement failed, the statement did not run
+        let fault = if last { fault } else { fault.map(not_run_fault) };
         if last && is_statement(&work.current) {
             let reply = wire::plain::Reply {
                 rows: work.rows,
@@ -337,8 +348,8 @@
         Ok(())
     }
 
-    /// Notes what a step has changed on the connection.
-    fn learn(&mut self, order: &Order, fault: Option<Fault>) {
+    /// Records the effect of a step on the connection's session.
+    fn record_step(&mut self, order: &Order, fault: Option<Fault>) {
         match order {
             Order::Set { name, value } if fault.is_none() => {
                 self.values.insert(name.clone(), value.clone());
@@ -346,7 +357,7 @@
             Order::Prepare { number, access, shape } if fault.is_none() => {
                 self.prepared.insert((*access, shape.clone()), *number);
             }
-            // it starts anew with the next task
+            // the next task prepares its statement again
             Order::Execute { .. } if fault == Some(Fault::Unprepared) => self.prepared.clear(),
             _ => {}
         }
@@ -375,7 +386,8 @@
     matches!(order, Order::Run { .. } | Order::Execute { .. })
 }
 
-/// What a failed step before a statement means for the statement.
-fn not_run(fault: Fault) -> Fault {
+/// Returns the fault of a statement that did not run because a step before it
+/// failed.
+fn not_run_fault(fault: Fault) -> Fault {
     if fault.is_not_run() { fault } else { Fault::Busy }
 }
--- a/components/entry/src/keep/probe.rs
+++ b/components/entry/src/keep/probe.rs
@@ -1,5 +1,5 @@
-//! Reports of a server: one task asks for each change, another asks at once
-//! when a sample is wanted.
+//! Status reports of a backend server: one task polls for each change, another
+//! asks immediately when the group requests a sample.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
@@ -14,20 +14,20 @@
 
 use super::shard::Shard;
 
-/// Longest time that a report waits for a change.
-const WAIT: Duration = Duration::from_millis(100);
+/// Longest time for which a server may delay its report until a change.
+const CHANGE_WAIT: Duration = Duration::from_millis(100);
 
-/// Time for a connection, and for an answer beyond its wait.
-const TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout for connecting, and for an answer in addition to the requested wait.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause after a failure.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed attempt on a new connection.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// The questions asked of one server.
+/// Tasks that probe one server; dropping the prober stops them.
 #[derive(Debug)]
 pub(super) struct Prober {
     pub(super) address: SocketAddr,
-    wanted: Arc<Notify>,
+    sample_requests: Arc<Notify>,
     tasks: [AbortHandle; 2],
 }
 
@@ -41,59 +41,60 @@
 
 impl Prober {
     pub(super) fn start(shard: &Arc<Shard>, server: &Name, address: SocketAddr) -> Self {
-        let wanted = Arc::new(Notify::new());
+        let sample_requests = Arc::new(Notify::new());
         let target = || Target { shard: Arc::downgrade(shard), server: server.clone(), address };
         let follow = tokio::spawn(follow(target())).abort_handle();
-        let sample = tokio::spawn(sample(target(), Arc::clone(&wanted))).abort_handle();
-        Self { address, wanted, tasks: [follow, sample] }
+        let sample = tokio::spawn(sample(target(), Arc::clone(&sample_requests))).abort_handle();
+        Self { address, sample_requests, tasks: [follow, sample] }
     }
 
-    /// Asks for a report at once.
+    /// Requests a report from the server immediately.
     pub(super) fn sample(&self) {
-        self.wanted.notify_one();
+        self.sample_requests.notify_one();
     }
 }
 
+/// Server to probe, and the shard that receives the reports.
 struct Target {
     shard: Weak<Shard>,
     server: Name,
     address: SocketAddr,
 }
 
-/// What came of a question.
-enum Answer {
-    /// A report of this version.
+/// Result of one attempt to get a report.
+enum Attempt {
+    /// The server sent a report with this version.
     Reported(u64),
-    /// None.
+    /// The server sent no report.
     Failed,
-    /// Nobody waits for one: the group is gone. Its last holder may have been
-    /// the task that asked, which nothing else would end then.
-    Over,
+    /// The shard was dropped, so the probing task must end. The task itself may have
+    /// held the last reference to the shard; nothing else would end the task then.
+    ShardDropped,
 }
 
 impl Target {
-    /// Asks once and feeds what comes.
-    async fn ask(&self, probe: &mut Option<Probe>, after: u64, wait: Duration) -> Answer {
-        let asked = self.status(probe, after, wait).await;
+    /// Asks once for a report and passes the result to the shard as an event.
+    async fn ask(&self, probe: &mut Option<Probe>, after: u64, wait: Duration) -> Attempt {
+        let result = self.status(probe, after, wait).await;
         let Some(shard) = self.shard.upgrade() else {
-            return Answer::Over;
+            return Attempt::ShardDropped;
         };
-        match asked {
+        match result {
             Ok((status, sent)) if status.server == self.server => {
                 let version = status.version;
                 shard.feed(Event::Status { status, sent });
-                Answer::Reported(version)
+                Attempt::Reported(version)
             }
             Ok(_) => {
                 *probe = None;
-                Answer::Failed
+                Attempt::Failed
             }
             Err(report) => {
                 *probe = None;
                 if let Some(trouble) = trouble(*report.current_context()) {
                     shard.feed(Event::Unreached { server: self.server.clone(), trouble });
                 }
-                Answer::Failed
+                Attempt::Failed
             }
         }
     }
@@ -106,7 +107,7 @@
     ) -> Result<(Status, Instant), Report<Failure>> {
         let probe = match probe {
             Some(probe) => probe,
-            None => probe.insert(Probe::connect(self.address, TIMEOUT).await?),
+            None => probe.insert(Probe::connect(self.address, PROBE_TIMEOUT).await?),
         };
         let clock = self.shard.upgrade().ok_or(Failure::Broken)?.clock();
         let sent = clock.now();
@@ -122,34 +123,37 @@
     }
 }
 
+/// Polls the server for each change of its status.
 async fn follow(target: Target) {
     let mut probe = None;
     let mut after = 0;
     loop {
-        let stood = probe.is_some();
-        after = match target.ask(&mut probe, after, WAIT).await {
-            Answer::Reported(version) => version,
-            Answer::Failed => 0,
-            Answer::Over => return,
+        let was_connected = probe.is_some();
+        after = match target.ask(&mut probe, after, CHANGE_WAIT).await {
+            Attempt::Reported(version) => version,
+            Attempt::Failed => 0,
+            Attempt::ShardDropped => return,
         };
-        // a connection that broke is tried again at once: it may be refused now
-        if after == 0 && !stood {
-            tokio::time::sleep(PAUSE).await;
+        // after an open connection failed, reconnect without a pause: if the server has
+        // crashed, the new connection is refused, which shows the crash at once
+        if after == 0 && !was_connected {
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-async fn sample(target: Target, wanted: Arc<Notify>) {
+/// Asks the server for a report each time one is requested.
+async fn sample(target: Target, requests: Arc<Notify>) {
     let mut probe = None;
     loop {
-        wanted.notified().await;
-        let fresh = probe.is_none();
-        let mut asked = target.ask(&mut probe, 0, Duration::ZERO).await;
-        // an old connection may have broken unnoticed
-        if matches!(asked, Answer::Failed) && !fresh {
-            asked = target.ask(&mut probe, 0, Duration::ZERO).await;
+        requests.notified().await;
+        let is_new = probe.is_none();
+        let mut attempt = target.ask(&mut probe, 0, Duration::ZERO).await;
+        // an existing connection may have failed unnoticed since its last use
+        if matches!(attempt, Attempt::Failed) && !is_new {
+            attempt = target.ask(&mut probe, 0, Duration::ZERO).await;
         }
-        if matches!(asked, Answer::Over) {
+        if matches!(attempt, Attempt::ShardDropped) {
             return;
         }
     }
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -1,7 +1,7 @@
-//! One group under its lock.
+//! One group behind its lock.
 //!
-//! Effects are carried out after the lock is released, in the order in which
-//! they were put out, whichever task puts them out.
+//! Effects are executed after the lock is released, in the order in which the
+//! group emitted them, whichever task executes them.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -19,57 +19,66 @@
 use super::probe::Prober;
 use super::{Host, lock};
 
-/// Least time between two ticks.
-const LEAST_TICK: Duration = Duration::from_millis(2);
+/// Shortest time between two ticks.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// One group and what the host holds for it.
+/// One group with its connections, probers and timer.
 #[derive(Debug)]
 pub(super) struct Shard {
     name: Name,
     host: Arc<Host>,
     inner: Mutex<Inner>,
-    /// Held while effects are carried out.
-    tools: Mutex<Tools>,
+    /// Connections and probers; locked while effects are executed.
+    tasks: Mutex<TaskSet>,
+    /// Time of the next tick that the group has asked for.
     wake: watch::Sender<Instant>,
     timer: Mutex<Option<tokio::task::AbortHandle>>,
-    /// What was logged last of the control state.
-    belief: Mutex<Belief>,
+    /// Primary, term and lease in the last log line about the control state.
+    logged: Mutex<Assignment>,
 }
 
-/// Where the control state stands that a keeper is told of.
+/// Revision of the control state from which a [`Setup`] was made.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Revision {
-    /// Index of the last command applied.
+    /// Index of the last applied command of the control log.
     pub(super) index: u64,
     /// Version of the declarations.
     pub(super) version: u64,
-    /// Term of the group that control has intended or established.
+    /// Newest term of the group, whether its primary is only intended or already
+    /// established.
     pub(super) term: Term,
 }
 
-/// What a keeper goes by.
+/// Primary and term of a group, and this entry's lease on the group.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Belief {
+struct Assignment {
     primary: Option<Name>,
     term: Term,
     lease: Lease,
 }
 
+/// The group and its queued effects.
 #[derive(Debug)]
 struct Inner {
     group: Group,
+    /// Effects that are not executed yet, oldest first.
     effects: VecDeque<Effect>,
+    /// Buffer for the effects of one event, reused to avoid allocations.
     scratch: Vec<Effect>,
-    /// Whether the group takes the entry's lease for held.
+    /// Whether the group was last told that the entry holds its lease.
     leased: bool,
 }
 
+/// Running tasks of a shard, except for its timer.
 #[derive(Debug, Default)]
-struct Tools {
+struct TaskSet {
     conns: HashMap<Key<Connection>, Control>,
     probers: BTreeMap<Name, Prober>,
-    /// Whether the servers tell their position with each answer.
-    solo: bool,
+    /// Whether the group is unfenced: its servers acknowledge commits by
+    /// themselves and report their position with each answer, so they are not
+    /// probed.
+    unfenced: bool,
+    /// Whether [`Shard::stop`] was called; effects are discarded from then on.
     stopped: bool,
 }
 
@@ -82,10 +91,10 @@
             name,
             host,
             inner: Mutex::new(inner),
-            tools: Mutex::default(),
+            tasks: Mutex::default(),
             wake: watch::Sender::new(Instant::ZERO),
             timer: Mutex::default(),
-            belief: Mutex::default(),
+            logged: Mutex::default(),
         });
         let timer = tokio::spawn(tick(Arc::clone(&shard)));
         *lock(&shard.timer) = Some(timer.abort_handle());
@@ -108,26 +117,26 @@
         lock(&self.inner).group.is_over()
     }
 
-    /// Feeds an event and carries out what follows.
+    /// Passes an event to the group and executes the effects.
     pub(super) fn feed(self: &Arc<Self>, event: Event) {
         let now = self.host.clock.now();
-        lock(&self.inner).take(now, event, self.host.view.has_lease(now));
-        self.carry_out();
+        lock(&self.inner).handle(now, event, self.host.view.has_lease(now));
+        self.run_effects();
     }
 
-    /// Takes a change of the control state in.
+    /// Applies a change of the control state.
     pub(super) fn configure(self: &Arc<Self>, revision: Revision, setup: Setup) {
-        self.tell_change(revision, &setup);
-        self.set_probers(&mut lock(&self.tools), &setup);
+        self.log_change(revision, &setup);
+        self.set_probers(&mut lock(&self.tasks), &setup);
         self.feed(Event::Setup(setup));
     }
 
-    /// One line when another primary, term or lease is learned of.
-    fn tell_change(&self, revision: Revision, setup: &Setup) {
+    /// Logs one line if the primary, the term or the lease has changed.
+    fn log_change(&self, revision: Revision, setup: &Setup) {
         let (primary, lease) = (setup.primary.clone(), setup.lease);
-        let belief = Belief { primary, term: revision.term, lease };
-        let mut known = lock(&self.belief);
-        if *known == belief {
+        let current = Assignment { primary, term: revision.term, lease };
+        let mut logged = lock(&self.logged);
+        if *logged == current {
             return;
         }
         let learned = Learned {
@@ -139,38 +148,38 @@
             lease: setup.lease.into(),
         };
         learned.log(&self.host.log);
-        *known = belief;
+        *logged = current;
     }
 
-    fn set_probers(self: &Arc<Self>, tools: &mut Tools, setup: &Setup) {
-        tools.solo = setup.solo.is_some();
-        if tools.stopped || tools.solo || setup.lease == Lease::None {
-            tools.probers.clear();
+    fn set_probers(self: &Arc<Self>, tasks: &mut TaskSet, setup: &Setup) {
+        tasks.unfenced = setup.solo.is_some();
+        if tasks.stopped || tasks.unfenced || setup.lease == Lease::None {
+            tasks.probers.clear();
             return;
         }
-        let same = |name: &Name, prober: &Prober| {
+        let is_current = |name: &Name, prober: &Prober| {
             setup.servers.iter().any(|s| s.name == *name && s.address == prober.address)
         };
-        tools.probers.retain(|name, prober| same(name, prober));
+        tasks.probers.retain(|name, prober| is_current(name, prober));
         for server in &setup.servers {
             let start = || Prober::start(self, &server.name, server.address);
-            tools.probers.entry(server.name.clone()).or_insert_with(start);
+            tasks.probers.entry(server.name.clone()).or_insert_with(start);
         }
     }
 
-    /// Forgets a connection that has ended.
-    pub(super) fn forget(&self, conn: Key<Connection>) {
-        lock(&self.tools).conns.remove(&conn);
+    /// Removes a connection that has ended.
+    pub(super) fn remove(&self, conn: Key<Connection>) {
+        lock(&self.tasks).conns.remove(&conn);
     }
 
-    /// Drops all at once.
+    /// Aborts all connections, probers and the timer at once.
     pub(super) fn stop(&self) {
-        let tools = {
-            let mut tools = lock(&self.tools);
-            tools.stopped = true;
-            (std::mem::take(&mut tools.conns), std::mem::take(&mut tools.probers))
+        let taken = {
+            let mut tasks = lock(&self.tasks);
+            tasks.stopped = true;
+            (std::mem::take(&mut tasks.conns), std::mem::take(&mut tasks.probers))
         };
-        for control in tools.0.values() {
+        for control in taken.0.values() {
             control.abort();
         }
         if let Some(timer) = lock(&self.timer).take() {
@@ -178,36 +187,37 @@
         }
     }
 
-    fn carry_out(self: &Arc<Self>) {
-        let mut tools = lock(&self.tools);
+    /// Executes queued effects until none is left.
+    fn run_effects(self: &Arc<Self>) {
+        let mut tasks = lock(&self.tasks);
         loop {
             let Some(effect) = lock(&self.inner).effects.pop_front() else {
                 return;
             };
-            if !tools.stopped {
-                self.act(&mut tools, effect);
+            if !tasks.stopped {
+                self.execute(&mut tasks, effect);
             }
         }
     }
 
-    fn act(self: &Arc<Self>, tools: &mut Tools, effect: Effect) {
+    fn execute(self: &Arc<Self>, tasks: &mut TaskSet, effect: Effect) {
         match effect {
             Effect::Connect { conn, server, address } => {
                 self.host.metrics.count(Count::Opened);
-                let dialect = self.host.dialect.clone().filter(|_| tools.solo);
+                let dialect = self.host.dialect.clone().filter(|_| tasks.unfenced);
                 let control = match dialect {
                     Some(dialect) => plain::open(self, conn, server, address, dialect),
                     None => conn::open(self, conn, address),
                 };
-                tools.conns.insert(conn, control);
+                tasks.conns.insert(conn, control);
             }
-            Effect::Send { conn, bytes, wait } => tools.send(conn, Command::Send { bytes, wait }),
-            Effect::RollBack { conn } => tools.send(conn, Command::RollBack),
-            Effect::Mark { conn } => tools.send(conn, Command::Mark),
-            Effect::Close { conn } => tools.send(conn, Command::Close),
-            Effect::Cancel { conn } => tools.send(conn, Command::Cancel),
-            Effect::Pause { conn } => tools.pause(conn, true),
-            Effect::Resume { conn } => tools.pause(conn, false),
+            Effect::Send { conn, bytes, wait } => tasks.send(conn, Command::Send { bytes, wait }),
+            Effect::RollBack { conn } => tasks.send(conn, Command::RollBack),
+            Effect::Mark { conn } => tasks.send(conn, Command::Mark),
+            Effect::Close { conn } => tasks.send(conn, Command::Close),
+            Effect::Cancel { conn } => tasks.send(conn, Command::Cancel),
+            Effect::Pause { conn } => tasks.pause(conn, true),
+            Effect::Resume { conn } => tasks.pause(conn, false),
             Effect::Part { front, part } => {
                 self.host.fronts.send(front, answer::Body::Part(part));
             }
@@ -216,7 +226,7 @@
                 self.host.fronts.send(front, answer::Body::End(end));
             }
             Effect::Sample { server } => {
-                if let Some(prober) = tools.probers.get(&server) {
+                if let Some(prober) = tasks.probers.get(&server) {
                     prober.sample();
                 }
             }
@@ -240,7 +250,7 @@
 }
 
 impl Shard {
-    /// One line for a request that was not done, or not at the first try.
+    /// Logs one line for a request that failed or needed a retry.
     fn log_end(&self, ended: &Ended) {
         let line = event::Ended {
             request: &ended.trace,
@@ -264,11 +274,12 @@
 }
 
 impl Inner {
-    fn take(&mut self, now: Instant, event: Event, leased: bool) {
-        if let Event::Leased(told) = event {
-            self.leased = told;
+    /// Passes an event to the group and queues the effects.
+    fn handle(&mut self, now: Instant, event: Event, leased: bool) {
+        if let Event::Leased(held) = event {
+            self.leased = held;
         } else if self.leased && !leased {
-            // the lease ran out while the process stood still
+            // the lease expired while the process was paused, before `follow` noticed
             self.leased = false;
             self.group.on(now, Event::Leased(false), &mut self.scratch);
         }
@@ -277,7 +288,7 @@
     }
 }
 
-impl Tools {
+impl TaskSet {
     fn send(&self, conn: Key<Connection>, command: Command) {
         if let Some(control) = self.conns.get(&conn) {
             control.send(command);
@@ -291,17 +302,18 @@
     }
 }
 
-/// Ticks when the group asked for it.
+/// Sends a tick to the group at the time of its last [`Effect::Wake`], at least
+/// [`MIN_TICK_INTERVAL`] after the tick before.
 async fn tick(shard: Arc<Shard>) {
     let mut wake = shard.wake.subscribe();
-    let mut least = Instant::ZERO;
+    let mut earliest = Instant::ZERO;
     loop {
-        let at = (*wake.borrow_and_update()).max(least);
+        let at = (*wake.borrow_and_update()).max(earliest);
         let at = tokio::time::Instant::from_std(shard.host.clock.at(at));
         tokio::select! {
             () = tokio::time::sleep_until(at) => {
                 shard.feed(Event::Tick);
-                least = shard.host.clock.now() + LEAST_TICK;
+                earliest = shard.host.clock.now() + MIN_TICK_INTERVAL;
             }
             changed = wake.changed() => {
                 if changed.is_err() {
