--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -1,9 +1,9 @@
 //! The entry's link to control.
 //!
-//! The entry dials any member at random, follows the log there, and beats. It
-//! moves to another member when this one confirms no beat, and waits a random
-//! time before each dial, so that entries that lost a member together don't
-//! come back together.
+//! The entry dials a randomly chosen control member, follows the control log
+//! there, and sends heartbeats. When the member confirms no heartbeat, the entry
+//! moves to another member. Before each dial the entry waits for a random time,
+//! so that entries that lost the same member don't reconnect all at once.
 
 pub mod controls;
 pub mod progress;
@@ -26,41 +26,42 @@
 pub use controls::Controls;
 use progress::{CONFIRM_TIMEOUT, Fault, Progress};
 
-/// Longest wait before the first dial after a link broke.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// Limit on the random wait before the first dial after a link has failed.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest wait before a dial.
-const LAST_BACKOFF: Duration = Duration::from_millis(500);
+/// Limit on the random wait before any dial.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest time for a dial; a lease must survive some that fail.
+/// Timeout for a dial; short enough that several dials can fail before the lease
+/// expires.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two looks at whether the link serves.
-const CHECK: Duration = Duration::from_millis(100);
+/// Time between two checks of whether the member still serves this entry.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time for a farewell.
+/// Timeout for telling control that the entry leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the link to control needs.
+/// Settings of the link to control.
 #[derive(Debug)]
 pub struct Settings {
-    /// The entry as it joins.
+    /// Join command with which the entry registers itself in the control log.
     pub join: Join,
-    /// Addresses of the members' links.
+    /// Addresses at which control members accept links.
     pub controls: Controls,
-    /// The key that the system's processes share.
+    /// Key that all processes of the system share.
     pub key: Key,
-    /// Where the state is kept.
+    /// View into which the control state and the lease are written.
     pub view: View,
-    /// Symptoms to pass on.
+    /// Symptoms to send to control.
     pub symptoms: Symptoms,
-    /// The clock of the process.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Where to log.
+    /// Logger for events of the link.
     pub log: Logger,
 }
 
-/// The running link to control.
+/// Handle to the running link to control.
 #[derive(Debug)]
 pub struct Handle {
     leave: oneshot::Sender<()>,
@@ -68,47 +69,50 @@
 }
 
 impl Handle {
-    /// Tells control that the entry holds no connection any more, and ends.
+    /// Tells control that the entry no longer holds any connection, and closes the
+    /// link.
     pub async fn leave(self) {
         let _sent = self.leave.send(());
         drop(timeout(LEAVE_TIMEOUT, self.task).await);
     }
 
-    /// Ends at once without a word.
+    /// Drops the link at once, without telling control.
     pub fn kill(self) {
         self.task.abort();
     }
 }
 
-/// Starts to follow control.
+/// Starts the task that follows control.
 pub fn start(settings: Settings) -> Handle {
-    let (leave, left) = oneshot::channel();
-    let task = tokio::spawn(run(settings, left));
+    let (leave, leave_request) = oneshot::channel();
+    let task = tokio::spawn(run(settings, leave_request));
     Handle { leave, task }
 }
 
-/// How a link ended.
+/// Reason for the end of a link.
 enum End {
+    /// [`Handle::leave`] was called or the handle was dropped.
     Left,
+    /// The link failed; `confirmed` says whether the member had confirmed a heartbeat.
     Failed { confirmed: bool, report: Report<Fault> },
 }
 
-async fn run(mut settings: Settings, mut left: oneshot::Receiver<()>) {
-    let mut given = Vec::new();
+async fn run(mut settings: Settings, mut leave: oneshot::Receiver<()>) {
+    let mut given_up = Vec::new();
     let mut backoff = Duration::ZERO;
     let mut last = None;
     loop {
         let Some(address) = pick(&settings.controls.known(), last) else {
             slog::error!(settings.log, "no control member is known");
-            sleep(LAST_BACKOFF).await;
+            sleep(MAX_BACKOFF).await;
             continue;
         };
         last = Some(address);
         tokio::select! {
             () = sleep(jitter(backoff)) => {}
-            _ = &mut left => return,
+            _ = &mut leave => return,
         }
-        match visit(&mut settings, address, &mut given, &mut left).await {
+        match follow_member(&mut settings, address, &mut given_up, &mut leave).await {
             End::Left => return,
             End::Failed { confirmed, report } => {
                 slog::info!(settings.log, "left a control member"; "address" => %address, "reason" => %report);
@@ -118,7 +122,8 @@
     }
 }
 
-/// Any member but the last one, where there is another.
+/// Picks a random member other than the last one, or the last one if there is no
+/// other.
 fn pick(controls: &[SocketAddr], last: Option<SocketAddr>) -> Option<SocketAddr> {
     let others = || controls.iter().filter(|&&address| Some(address) != last);
     let count = others().count();
@@ -130,22 +135,22 @@
 }
 
 fn next_backoff(backoff: Duration) -> Duration {
-    (backoff * 2).clamp(FIRST_BACKOFF, LAST_BACKOFF)
+    (backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF)
 }
 
-/// A random part of the whole backoff.
+/// Returns a random duration between zero and `backoff`.
 fn jitter(backoff: Duration) -> Duration {
     backoff.mul_f64(rand::rng().random_range(0.0..=1.0))
 }
 
-async fn visit(
+async fn follow_member(
     settings: &mut Settings,
     address: SocketAddr,
-    given: &mut Vec<Name>,
-    left: &mut oneshot::Receiver<()>,
+    given_up: &mut Vec<Name>,
+    leave: &mut oneshot::Receiver<()>,
 ) -> End {
     let mut progress = Progress::new(settings.clock.now(), settings.join.clone());
-    match follow(settings, address, &mut progress, given, left).await {
+    match follow(settings, address, &mut progress, given_up, leave).await {
         Ok(()) => End::Left,
         Err(report) => End::Failed { confirmed: progress.has_confirmed(), report },
     }
@@ -164,17 +169,17 @@
     settings: &mut Settings,
     address: SocketAddr,
     progress: &mut Progress,
-    given: &mut Vec<Name>,
-    left: &mut oneshot::Receiver<()>,
+    given_up: &mut Vec<Name>,
+    leave: &mut oneshot::Receiver<()>,
 ) -> Result<(), Report<Fault>> {
     let (mut reader, mut writer) = dial(settings, address).await?;
     let view = settings.view.clone();
     let applied = view.read(|state| state.index);
-    let hello = Follow { join: Some(settings.join.clone()), applied };
-    send(&mut writer, up::Body::Follow(hello)).await?;
+    let request = Follow { join: Some(settings.join.clone()), applied };
+    send(&mut writer, up::Body::Follow(request)).await?;
     send_seals(&view, &mut writer).await?;
     let mut beats = ticks(BEAT);
-    let mut checks = ticks(CHECK);
+    let mut checks = ticks(CHECK_INTERVAL);
     loop {
         tokio::select! {
             message = reader.next::<Down>() => {
@@ -183,13 +188,14 @@
                     settings.controls.learn(members);
                 }
                 progress.on(&view, message)?;
-                progress.collect_given_up(&view, given);
+                progress.collect_given_up(&view, given_up);
                 if progress.has_reduced_lease(&view) {
-                    beat(settings, progress, given, &mut writer).await?;
+                    send_beat(settings, progress, given_up, &mut writer).await?;
                 }
             }
-            _ = beats.tick() => beat(settings, progress, given, &mut writer).await?,
-            () = view.wait_for_given_up() => beat(settings, progress, given, &mut writer).await?,
+            _ = beats.tick() => send_beat(settings, progress, given_up, &mut writer).await?,
+            () = view.wait_for_given_up() =>
+                send_beat(settings, progress, given_up, &mut writer).await?,
             () = view.wait_for_seal() => send_seals(&view, &mut writer).await?,
             Some(symptom) = settings.symptoms.recv() => {
                 send(&mut writer, up::Body::Symptom(symptom)).await?;
@@ -197,8 +203,8 @@
             _ = checks.tick() => {
                 progress.check(settings.clock.now(), &view, reader.pending())?;
             }
-            told = &mut *left => {
-                if told.is_ok() {
+            requested = &mut *leave => {
+                if requested.is_ok() {
                     drop(send(&mut writer, up::Body::Leave(Leave {})).await);
                 }
                 return Ok(());
@@ -213,13 +219,13 @@
     ticks
 }
 
-async fn beat(
+async fn send_beat(
     settings: &Settings,
     progress: &mut Progress,
-    given: &mut Vec<Name>,
+    given_up: &mut Vec<Name>,
     writer: &mut Writer,
 ) -> Result<(), Report<Fault>> {
-    let beat = progress.beat(settings.clock.now(), &settings.view, given);
+    let beat = progress.beat(settings.clock.now(), &settings.view, given_up);
     send(writer, up::Body::Beat(beat)).await
 }
 
--- a/components/entry/src/follow/controls.rs
+++ b/components/entry/src/follow/controls.rs
@@ -1,46 +1,48 @@
-//! Where control members listen: as the settings say, and as members told.
+//! Addresses of the control members, from the settings and from the members
+//! themselves.
 
 use std::net::SocketAddr;
 
 use tokio::sync::watch;
 use wire::control::Members;
 
-/// Addresses of the members' links.
+/// Addresses at which control members accept links.
 #[derive(Clone, Debug)]
 pub struct Controls {
-    /// As the settings say; they may change while the process runs.
-    set: watch::Receiver<Vec<SocketAddr>>,
-    /// As a member told last.
-    told: Vec<SocketAddr>,
+    /// Addresses from the settings, which may change while the process runs.
+    configured: watch::Receiver<Vec<SocketAddr>>,
+    /// Addresses from the last list that a member sent.
+    announced: Vec<SocketAddr>,
 }
 
 impl Controls {
-    /// Goes by settings that may change.
-    pub fn watch(set: watch::Receiver<Vec<SocketAddr>>) -> Self {
-        Self { set, told: Vec::new() }
+    /// Creates a list from settings that may change.
+    pub fn watch(configured: watch::Receiver<Vec<SocketAddr>>) -> Self {
+        Self { configured, announced: Vec::new() }
     }
 
-    /// All addresses that are known, each once.
+    /// Returns all known addresses, each of them once.
     pub fn known(&self) -> Vec<SocketAddr> {
-        let mut known = self.told.clone();
-        known.extend(self.set.borrow().iter());
+        let mut known = self.announced.clone();
+        known.extend(self.configured.borrow().iter());
         known.sort_unstable();
         known.dedup();
         known
     }
 
-    /// Takes what a member told; addresses that can't be read are passed over.
+    /// Takes over the addresses that a member sent; ignores those that cannot be
+    /// parsed, and the whole list if none can be.
     pub fn learn(&mut self, members: &Members) {
-        let told: Vec<_> = members.links.iter().filter_map(|link| link.parse().ok()).collect();
-        if !told.is_empty() {
-            self.told = told;
+        let announced: Vec<_> = members.links.iter().filter_map(|link| link.parse().ok()).collect();
+        if !announced.is_empty() {
+            self.announced = announced;
         }
     }
 }
 
 impl From<Vec<SocketAddr>> for Controls {
     fn from(fixed: Vec<SocketAddr>) -> Self {
-        let (_, set) = watch::channel(fixed);
-        Self::watch(set)
+        let (_, configured) = watch::channel(fixed);
+        Self::watch(configured)
     }
 }
--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -1,9 +1,10 @@
-//! How far an entry is with the log of one member: what comes is applied in
-//! order, and confirmed beats extend the lease.
+//! Progress of an entry on the control log of one member: log entries are
+//! applied in order, and confirmed heartbeats extend the lease.
 //!
-//! An entry holds one state, whichever member it follows, and its index only
-//! rises: what is older than the state is passed over. A beat's confirmation
-//! counts once the state has come up to the index that it names.
+//! An entry holds one control state, whichever member it follows, and the index
+//! of that state only rises: log entries and images that are older than the
+//! state are ignored. A confirmation of a heartbeat extends the lease only once
+//! the state has reached the index in the confirmation.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -17,40 +18,41 @@
 
 use crate::view::View;
 
-/// Time after which an unconfirmed beat makes an entry try another member.
+/// Time after which an unconfirmed heartbeat makes an entry try another member;
+/// also the timeout for sending a message.
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time for which what still comes of a long message keeps a link whose
-/// beats are unconfirmed: they are confirmed behind it.
+/// Longest time for which a long message that is still arriving keeps a link with
+/// unconfirmed heartbeats alive: the confirmations come after that message.
 pub const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after which an entry that the state does not hold joins again.
+/// Time after which an entry that is missing from the control state joins again.
 pub const REJOIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest image in bytes.
+/// Limit on the length of an image of the control state, in bytes.
 pub const MAX_IMAGE_BYTES: u64 = 256 << 20;
 
-/// Why a link to a member is given up.
+/// Reason for which the entry gives up a link to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The link could not be made or broke.
+    /// The link could not be established, or failed.
     Link,
-    /// The member closed it.
+    /// The member closed the link.
     Closed,
-    /// The member cannot serve.
+    /// The member cannot serve entries at present.
     Refused,
-    /// A beat stayed unconfirmed.
+    /// A heartbeat was not confirmed in time.
     Silent,
-    /// The log does not know the entry.
+    /// The control state does not contain this entry.
     Absent,
-    /// An entry of the log is missing.
+    /// The control log was received with a gap.
     Gap {
-        /// Index that was due.
+        /// Index that was expected next.
         due: u64,
-        /// Index that came.
+        /// Index that was received instead.
         found: u64,
     },
-    /// An image is cut, crossed or can't be read.
+    /// An image is too long, its pieces are out of order, or it cannot be decoded.
     Image,
 }
 
@@ -72,115 +74,127 @@
 
 impl std::error::Error for Fault {}
 
-/// The pieces of an image that came so far.
+/// An image of which some pieces have been received.
 #[derive(Debug)]
-struct Pieces {
+struct PartialImage {
     index: u64,
     bytes: BytesMut,
 }
 
-/// How far an entry is with one member.
+/// Progress of an entry on the log of one member.
 #[derive(Debug)]
 pub struct Progress {
     join: Join,
+    /// Sequence number of the last heartbeat.
     sequence: u64,
+    /// Sequence numbers and send times of the unconfirmed heartbeats, oldest first.
     sent: VecDeque<(u64, Instant)>,
+    /// Confirmations whose index the state has not reached yet, each with the time
+    /// when its heartbeat was sent.
     waiting: SmallVec<[(Confirm, Instant); 4]>,
-    pieces: Option<Pieces>,
-    known: Instant,
+    /// Image that is being received.
+    image: Option<PartialImage>,
+    /// Last time at which the entry was part of the state, or at which the state had
+    /// not caught up enough to tell.
+    last_present: Instant,
+    /// Whether the member has confirmed a heartbeat.
     confirmed: bool,
-    told: u64,
-    /// Bytes of an unfinished message at the last look, and since when.
+    /// Index of the newest reduction of a lease that the last heartbeat acknowledged.
+    acknowledged: u64,
+    /// Received bytes of an unfinished message at the last check, and the time at
+    /// which that number last changed.
     unfinished: (usize, Instant),
 }
 
 impl Progress {
-    /// Starts with a fresh link.
+    /// Creates the progress on a new link.
     pub fn new(now: Instant, join: Join) -> Self {
         Self {
             join,
             sequence: 0,
             sent: VecDeque::new(),
             waiting: SmallVec::new(),
-            pieces: None,
-            known: now,
+            image: None,
+            last_present: now,
             confirmed: false,
-            told: 0,
+            acknowledged: 0,
             unfinished: (0, now),
         }
     }
 
-    /// Whether this member has confirmed a beat.
+    /// Whether the member has confirmed a heartbeat.
     pub fn has_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// Keeps in `given` the groups that were given up, until the state shows
-    /// that they are no longer returning. Due after each change of the state,
-    /// so that a group that is granted and taken back again is not taken for
-    /// given up. Returns the index that was looked at.
-    pub fn collect_given_up(&self, view: &View, given: &mut Vec<Name>) -> u64 {
+    /// Collects the groups that were given up in `given_up`, and removes those whose
+    /// leases are no longer returning according to the state. Must be called after
+    /// each change of the state: otherwise a group that is leased to this entry
+    /// again, and whose new lease is then taken back, would still be listed as given
+    /// up. Returns the index of the state that was read.
+    pub fn collect_given_up(&self, view: &View, given_up: &mut Vec<Name>) -> u64 {
         for group in view.take_returned() {
-            if !given.contains(&group) {
-                given.push(group);
+            if !given_up.contains(&group) {
+                given_up.push(group);
             }
         }
         view.read(|state| {
-            given.retain(|group| self.returns(state, group));
+            given_up.retain(|group| self.is_returning(state, group));
             state.index
         })
     }
 
-    /// Whether something was taken from a lease of this entry since the last
-    /// beat. Control grants it to another only once it hears that this entry
-    /// knows, so a beat is due at once.
+    /// Whether a lease of this entry was reduced after the state that the last
+    /// heartbeat acknowledged. Control grants the freed part to another entry only
+    /// once this entry has acknowledged the reduction, so a heartbeat should be sent
+    /// immediately.
     pub fn has_reduced_lease(&self, view: &View) -> bool {
-        view.read(|state| self.reduced(state)) > self.told
+        view.read(|state| self.last_reduction(state)) > self.acknowledged
     }
 
-    /// Index of the newest command that took something from its leases.
-    fn reduced(&self, state: &State) -> u64 {
+    /// Returns the index of the newest command that reduced a lease of this entry.
+    fn last_reduction(&self, state: &State) -> u64 {
         let holds = |group: &&control::Group| group.lease(&self.join.entry).is_some();
         let reduced = state.groups.values().filter(holds).map(|group| group.reduced);
         reduced.max().unwrap_or_default()
     }
 
-    /// Makes the next beat; it names all that was given up.
-    pub fn beat(&mut self, now: Instant, view: &View, given: &mut Vec<Name>) -> Beat {
+    /// Creates the next heartbeat, which lists all groups that were given up.
+    pub fn beat(&mut self, now: Instant, view: &View, given_up: &mut Vec<Name>) -> Beat {
         self.sequence += 1;
         self.sent.push_back((self.sequence, now));
-        let applied = self.collect_given_up(view, given);
-        self.told = view.read(|state| self.reduced(state)).min(applied);
-        let returned = given.iter().map(Name::to_string).collect();
+        let applied = self.collect_given_up(view, given_up);
+        self.acknowledged = view.read(|state| self.last_reduction(state)).min(applied);
+        let returned = given_up.iter().map(Name::to_string).collect();
         Beat { sequence: self.sequence, applied, returned }
     }
 
-    fn returns(&self, state: &State, group: &Name) -> bool {
+    fn is_returning(&self, state: &State, group: &Name) -> bool {
         let lease = state.groups.get(group).and_then(|group| group.lease(&self.join.entry));
         lease.is_some_and(|lease| lease.returning && lease.incarnation == self.join.incarnation)
     }
 
-    /// Takes a message of the member.
+    /// Handles a message from the member.
     ///
     /// # Errors
-    /// A [`Fault`] after which the link is of no use.
+    /// Returns a [`Fault`] after which the link must be closed.
     pub fn on(&mut self, view: &View, message: Down) -> Result<(), Report<Fault>> {
         match message.body {
-            Some(down::Body::Image(image)) => self.image(view, &image)?,
+            Some(down::Body::Image(image)) => self.receive_image(view, &image)?,
             Some(down::Body::Entries(entries)) => apply(view, entries)?,
             Some(down::Body::Confirm(confirm)) => self.confirm(confirm),
             Some(down::Body::Refuse(_)) => return Err(Report::new(Fault::Refused)),
             Some(down::Body::Members(_)) | None => {}
         }
-        self.extend(view);
+        self.extend_lease(view);
         Ok(())
     }
 
-    /// Whether the link serves. `unfinished` is what came of a message that is
-    /// not whole, in bytes.
+    /// Checks whether the member still serves this entry. `unfinished` is the number
+    /// of bytes received of a message that is not complete yet.
     ///
     /// # Errors
-    /// [`Fault::Silent`] or [`Fault::Absent`].
+    /// Returns [`Fault::Silent`] or [`Fault::Absent`].
     pub fn check(
         &mut self,
         now: Instant,
@@ -193,13 +207,13 @@
         if self.is_silent(now) {
             return Err(Report::new(Fault::Silent));
         }
-        let own =
+        let own_incarnation =
             |state: &State| state.entries.get(self.join.entry.as_str()).map(|e| e.incarnation);
-        let behind = !self.confirmed || !self.waiting.is_empty();
-        if behind || view.read(own) == Some(self.join.incarnation) {
-            self.known = now;
+        let is_behind = !self.confirmed || !self.waiting.is_empty();
+        if is_behind || view.read(own_incarnation) == Some(self.join.incarnation) {
+            self.last_present = now;
         }
-        if now.since(self.known) > REJOIN_TIMEOUT {
+        if now.since(self.last_present) > REJOIN_TIMEOUT {
             return Err(Report::new(Fault::Absent));
         }
         Ok(())
@@ -209,9 +223,9 @@
         let Some(&(_, oldest)) = self.sent.front() else {
             return false;
         };
-        let comes = now.since(self.unfinished.1) <= CONFIRM_TIMEOUT
+        let is_receiving = now.since(self.unfinished.1) <= CONFIRM_TIMEOUT
             && now.since(oldest) <= TRANSFER_TIMEOUT;
-        now.since(oldest) > CONFIRM_TIMEOUT && !comes
+        now.since(oldest) > CONFIRM_TIMEOUT && !is_receiving
     }
 
     fn confirm(&mut self, confirm: Confirm) {
@@ -227,7 +241,7 @@
         }
     }
 
-    fn extend(&mut self, view: &View) {
+    fn extend_lease(&mut self, view: &View) {
         let applied = view.read(|state| state.index);
         self.waiting.retain(|(confirm, sent)| {
             if applied < confirm.index {
@@ -239,26 +253,26 @@
         });
     }
 
-    fn image(&mut self, view: &View, image: &Image) -> Result<(), Report<Fault>> {
+    fn receive_image(&mut self, view: &View, image: &Image) -> Result<(), Report<Fault>> {
         if image.offset == 0 {
-            self.pieces = Some(Pieces { index: image.index, bytes: BytesMut::new() });
+            self.image = Some(PartialImage { index: image.index, bytes: BytesMut::new() });
         }
-        let pieces = self.pieces.as_mut().ok_or(Fault::Image)?;
-        let next = pieces.index == image.index && pieces.bytes.len() as u64 == image.offset;
-        if !next || image.length > MAX_IMAGE_BYTES {
+        let partial = self.image.as_mut().ok_or(Fault::Image)?;
+        let is_next = partial.index == image.index && partial.bytes.len() as u64 == image.offset;
+        if !is_next || image.length > MAX_IMAGE_BYTES {
             return Err(Report::new(Fault::Image));
         }
-        pieces.bytes.extend_from_slice(&image.bytes);
-        if (pieces.bytes.len() as u64) < image.length {
+        partial.bytes.extend_from_slice(&image.bytes);
+        if (partial.bytes.len() as u64) < image.length {
             return Ok(());
         }
-        let state = State::decode(&pieces.bytes).change_context(Fault::Image)?;
-        self.pieces = None;
+        let state = State::decode(&partial.bytes).change_context(Fault::Image)?;
+        self.image = None;
         if state.index != image.index {
             return Err(Report::new(Fault::Image));
         }
-        if state.index > view.read(|own| own.index) {
-            view.write(|own| *own = state);
+        if state.index > view.read(|current| current.index) {
+            view.write(|current| *current = state);
         }
         Ok(())
     }
@@ -266,7 +280,7 @@
 
 fn apply(view: &View, entries: wire::control::Entries) -> Result<(), Report<Fault>> {
     let mut applied = view.read(|state| state.index);
-    let mut due = Vec::with_capacity(entries.entries.len());
+    let mut new_entries = Vec::with_capacity(entries.entries.len());
     for entry in entries.entries {
         if entry.index <= applied {
             continue;
@@ -275,13 +289,13 @@
             return Err(Report::new(Fault::Gap { due: applied + 1, found: entry.index }));
         }
         applied = entry.index;
-        due.push(entry);
+        new_entries.push(entry);
     }
-    if due.is_empty() {
+    if new_entries.is_empty() {
         return Ok(());
     }
     view.write(|state| {
-        for entry in &due {
+        for entry in &new_entries {
             match &entry.command {
                 Some(command) => drop(state.apply(entry.index, command)),
                 None => state.skip(entry.index),
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an entry.
+//! Starts and stops an entry.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -24,52 +24,52 @@
 use crate::view::Symptoms;
 use crate::{View, follow, front, keep};
 
-/// Time between two looks at whether the entry can take work.
-const READY_CHECK: Duration = Duration::from_millis(100);
+/// Time between two checks of whether the entry is ready.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the entry.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
-    /// Raised by each start of the entry.
+    /// Incarnation of the entry; each start of the entry raises it.
     pub incarnation: u64,
     /// Whether the host starts an entry only after the earlier one has ended.
     pub sole: bool,
-    /// How much the host can carry beside others; groups are kept by those that
-    /// carry most.
+    /// Capacity of the host relative to the hosts of other entries; groups are kept
+    /// by the entries with the greatest weights.
     pub weight: u32,
-    /// Where callers connect; port 0 takes a free one.
+    /// Listen address for callers; port 0 takes a free port.
     pub callers: SocketAddr,
-    /// Where fronts of other entries connect.
+    /// Listen address for the fronts of other entries.
     pub link: SocketAddr,
-    /// Where health and metrics are served.
+    /// Listen address for health and metrics.
     pub web: SocketAddr,
-    /// Links of the control members.
+    /// Addresses at which control members accept links.
     pub controls: follow::Controls,
-    /// The key that the system's processes share.
+    /// Key that all processes of the system share.
     pub key: Key,
-    /// File of users; without one each login is trusted.
+    /// File with the users that may log in; without a file each login is trusted.
     pub users: Option<PathBuf>,
-    /// Files for TLS towards callers.
+    /// Certificate and key files for TLS towards callers; none disables TLS.
     pub tls: Option<Tls>,
-    /// Protocol of plain statements, towards callers and backend servers; none
-    /// where they speak PostgreSQL.
+    /// Protocol for plain statements, spoken with callers and backend servers; none
+    /// if they speak PostgreSQL.
     pub dialect: Option<Arc<dyn Dialect>>,
-    /// Log.
+    /// Logger for events of the entry.
     pub log: Logger,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// How an entry is stopped.
+/// Time limits of a graceful stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stop {
-    /// Time in which the balancer notices that the entry is not ready.
+    /// Wait for the load balancer to notice that the entry is not ready.
     pub balancer: Duration,
-    /// Time in which transactions may end.
+    /// Time limit for running requests and open transactions to finish.
     pub limit: Duration,
 }
 
@@ -79,20 +79,20 @@
     }
 }
 
-/// An entry that could not start.
+/// Error that keeps an entry from starting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// An address could not be listened on.
+    /// The entry cannot listen on an address.
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
     },
-    /// The file of users can't be read.
+    /// The file of users cannot be read or parsed.
     Users {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The files for TLS can't be used.
+    /// The certificate or key file for TLS cannot be used.
     Tls,
 }
 
@@ -111,15 +111,15 @@
 /// Addresses that an entry listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where fronts connect.
+    /// Listen address for the fronts of other entries.
     pub link: SocketAddr,
-    /// Where health and metrics are served.
+    /// Listen address for health and metrics.
     pub web: SocketAddr,
 }
 
-/// An entry that listens and does not serve yet.
+/// An entry whose addresses are bound, but that does not serve yet.
 #[derive(Debug)]
 pub struct Bound {
     settings: Settings,
@@ -131,7 +131,7 @@
     tls: Option<Acceptor>,
 }
 
-/// A TLS acceptor, which has no debug form of its own.
+/// A TLS acceptor with an implementation of `Debug`, which [`TlsAcceptor`] lacks.
 #[derive(Clone)]
 struct Acceptor(TlsAcceptor);
 
@@ -141,12 +141,12 @@
     }
 }
 
-/// Listens on all addresses of an entry and reads its files.
+/// Binds all addresses of an entry and reads its files.
 ///
 /// # Errors
-/// Each [`Failure`].
+/// Returns a [`Failure`] if an address cannot be bound or a file cannot be used.
 pub async fn bind(settings: Settings) -> Result<Bound, Report<Failure>> {
-    let users = settings.users.as_ref().map(users).transpose()?;
+    let users = settings.users.as_ref().map(read_users).transpose()?;
     let tls = settings.tls.as_ref().map(tls::load).transpose().change_context(Failure::Tls)?;
     let (callers, callers_address) = listen(settings.callers).await?;
     let (link, link_address) = listen(settings.link).await?;
@@ -155,7 +155,7 @@
     Ok(Bound { settings, addresses, callers, link, web, users, tls: tls.map(Acceptor) })
 }
 
-fn users(path: &PathBuf) -> Result<Users, Report<Failure>> {
+fn read_users(path: &PathBuf) -> Result<Users, Report<Failure>> {
     let failure = || Failure::Users { path: path.clone() };
     let text = std::fs::read_to_string(path).change_context_lazy(failure)?;
     text.parse::<Users>().map_err(|report| report.change_context(failure()))
@@ -169,18 +169,18 @@
 }
 
 impl Bound {
-    /// Addresses that the entry listens on.
+    /// Returns the addresses that the entry listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Starts all halves of the entry.
+    /// Starts the front, the keeper, the link to control and the web server.
     pub fn start(self) -> Handle {
         let (view, symptoms) = View::new();
         let metrics = Arc::new(Mutex::new(Registry::default()));
         let health = Health::new();
         let ended = CancellationToken::new();
-        let ready = readiness(self.settings.clone(), view.clone(), health.clone());
+        let ready = update_readiness(self.settings.clone(), view.clone(), health.clone());
         let ready = tokio::spawn(ended.clone().run_until_cancelled_owned(ready));
         let front = front::start(front::Settings {
             name: self.settings.name.clone(),
@@ -242,7 +242,8 @@
     follow::start(follow::Settings { join, controls, key, view, symptoms, clock, log })
 }
 
-/// `GET /v1/burn`: what the entry counted against the objectives of services.
+/// Serves `GET /v1/burn`: the entry's counts of requests against the objectives of
+/// services.
 fn burn_routes(front: Arc<front::Front>) -> Router {
     Router::new().route("/v1/burn", get(async move || axum::Json(front.page())))
 }
@@ -250,13 +251,14 @@
 async fn web(log: Logger, listener: TcpListener, routes: Router, ended: CancellationToken) {
     let served = telemetry::web::serve(listener, routes, ended.cancelled_owned()).await;
     if let Err(report) = served {
-        error!(log, "health and metrics are not served any more"; "error" => #%report);
+        error!(log, "web server for health and metrics failed"; "error" => #%report);
     }
 }
 
-/// Keeps readiness true to whether the entry can take work.
-async fn readiness(settings: Settings, view: View, health: Health) {
-    let mut check = tokio::time::interval(READY_CHECK);
+/// Updates readiness: an entry is ready while it holds its lease and is not
+/// draining.
+async fn update_readiness(settings: Settings, view: View, health: Health) {
+    let mut check = tokio::time::interval(READY_CHECK_INTERVAL);
     loop {
         check.tick().await;
         let draining = view
@@ -268,7 +270,7 @@
     }
 }
 
-/// An entry that runs.
+/// Handle to a running entry.
 #[derive(Debug)]
 pub struct Handle {
     log: Logger,
@@ -282,36 +284,38 @@
 }
 
 impl Handle {
-    /// What the entry knows of the control log.
+    /// Returns the control state and lease of the entry.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Whether the entry takes new work, for a server of its own.
+    /// Returns the readiness of the entry, for a health server outside of the entry.
     pub fn health(&self) -> Health {
         self.health.clone()
     }
 
-    /// Whether the entry takes new work.
+    /// Whether the entry accepts new callers.
     pub fn is_ready(&self) -> bool {
         self.health.is_ready()
     }
 
-    /// Stops as planned, with the default [`Stop`].
+    /// Stops the entry gracefully, with the default limits of [`Stop`].
     pub async fn stop(self) {
         self.stop_with(Stop::default()).await;
     }
 
-    /// Stops as planned: is not ready, lets the balancer notice, takes no new
-    /// callers, finishes what runs, gives the leases back and leaves.
+    /// Stops the entry gracefully: clears readiness, waits for the load balancer to
+    /// notice, accepts no new callers, finishes running requests and transactions,
+    /// gives back the leases, and tells control that the entry leaves.
     pub async fn stop_with(self, stop: Stop) {
         self.ready.abort();
         self.health.set_ready(false);
         info!(self.log, "stopping"; "limit_ms" => stop.limit.as_millis() as u64);
         tokio::time::sleep(stop.balancer).await;
-        let cut = self.front.close(stop.limit).await;
-        if cut > 0 {
-            warn!(self.log, "callers were cut at the limit"; "callers" => cut);
+        let disconnected = self.front.close(stop.limit).await;
+        if disconnected > 0 {
+            warn!(self.log, "stop limit reached; callers were disconnected";
+                "callers" => disconnected);
         }
         self.keep.close().await;
         self.front.end();
@@ -320,7 +324,7 @@
         info!(self.log, "stopped");
     }
 
-    /// Drops everything at once, as a crash does.
+    /// Drops all links and connections at once, as in a crash.
     pub fn kill(self) {
         self.ready.abort();
         self.front.kill();
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,10 +1,10 @@
-//! The host of an entry: callers on one side, backend servers on the other.
+//! An entry process: callers on one side, backend servers on the other.
 //!
-//! - [`host`]: starting and stopping all of it.
+//! - [`host`]: starts and stops an entry.
 //! - [`front`]: callers and their sessions.
 //! - [`keep`]: connections to backend servers.
-//! - [`follow`]: its link to control.
-//! - [`view`]: what this entry knows of the control log, and its lease.
+//! - [`follow`]: the entry's link to control.
+//! - [`view`]: the control state that this entry has applied, and its lease.
 
 pub mod follow;
 pub mod front;
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -1,4 +1,5 @@
-//! What an entry knows of the control log, shared between its halves.
+//! The control state that an entry has applied, and the entry's lease, shared
+//! between its front and its keeper.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,11 +10,11 @@
 use tokio::sync::{Notify, mpsc, watch};
 use wire::control::{Seal, Symptom};
 
-/// Symptoms that may wait for the link to control; more are dropped, and a
-/// keeper that still sees one reports it again.
-const SYMPTOMS: usize = 256;
+/// Length of the queue of symptoms for the link to control; when it is full, more
+/// are dropped, and a keeper that still sees a symptom reports it again.
+const SYMPTOM_QUEUE: usize = 256;
 
-/// A shared handle on the control state as this entry has applied it.
+/// Shared handle to the control state as this entry has applied it.
 #[derive(Clone, Debug)]
 pub struct View {
     shared: Arc<Shared>,
@@ -24,27 +25,31 @@
 #[derive(Debug)]
 struct Shared {
     state: RwLock<State>,
+    /// End of the entry's lease in microseconds of the process's clock.
     lease_until: AtomicU64,
-    /// Tells that a lease was extended.
-    leased: Notify,
+    /// Notified when the lease is extended.
+    lease_extended: Notify,
+    /// Groups given up since the last call of [`View::take_returned`].
     returned: Mutex<Vec<Name>>,
+    /// Notified when a group is given up.
     given_up: Notify,
     /// The newest seal of each group.
     seals: Mutex<BTreeMap<String, Seal>>,
+    /// Notified when a group is sealed.
     sealed: Notify,
 }
 
-/// Symptoms on their way to control.
+/// Receiver of the symptoms to send to control.
 pub type Symptoms = mpsc::Receiver<Symptom>;
 
 impl View {
-    /// Makes a view of the empty state, without a lease.
+    /// Creates a view of an empty control state, without a lease.
     pub fn new() -> (Self, Symptoms) {
-        let (symptoms, reported) = mpsc::channel(SYMPTOMS);
+        let (symptoms, reported) = mpsc::channel(SYMPTOM_QUEUE);
         let shared = Shared {
             state: RwLock::default(),
             lease_until: AtomicU64::new(0),
-            leased: Notify::new(),
+            lease_extended: Notify::new(),
             returned: Mutex::default(),
             given_up: Notify::new(),
             seals: Mutex::default(),
@@ -54,12 +59,13 @@
         (Self { shared: Arc::new(shared), changed, symptoms }, reported)
     }
 
-    /// Asks something of the state.
-    pub fn read<T>(&self, ask: impl FnOnce(&State) -> T) -> T {
-        ask(&self.shared.state.read().unwrap_or_else(PoisonError::into_inner))
+    /// Calls `read` with the state and returns its result.
+    pub fn read<T>(&self, read: impl FnOnce(&State) -> T) -> T {
+        read(&self.shared.state.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Changes the state, as a committed command does, and wakes who waits.
+    /// Applies a change, such as a committed command, to the state and notifies the
+    /// receivers of [`View::changes`].
     pub fn write(&self, change: impl FnOnce(&mut State)) {
         let index = {
             let mut state = self.shared.state.write().unwrap_or_else(PoisonError::into_inner);
@@ -69,38 +75,41 @@
         self.changed.send_replace(index);
     }
 
-    /// Tells of each change, by the index that was applied last.
+    /// Returns a receiver that is notified of each change of the state; its value is
+    /// the index of the last applied command.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Whether the lease still runs.
+    /// Whether the entry holds its lease at the time `now`.
     pub fn has_lease(&self, now: Instant) -> bool {
         now < self.lease_until()
     }
 
-    /// When the lease runs out.
+    /// Time at which the lease expires.
     pub fn lease_until(&self) -> Instant {
         Instant::from_micros(self.shared.lease_until.load(Ordering::Acquire))
     }
 
-    /// Extends the lease; an earlier end changes nothing.
+    /// Extends the lease until `until`; has no effect if the lease already lasts
+    /// longer.
     pub fn extend_lease(&self, until: Instant) {
         self.shared.lease_until.fetch_max(until.as_micros(), Ordering::AcqRel);
-        self.shared.leased.notify_waiters();
+        self.shared.lease_extended.notify_waiters();
     }
 
-    /// Waits until the lease is extended, for `limit` at most.
+    /// Waits until the lease is extended, but no longer than `limit`.
     pub async fn wait_for_extension(&self, limit: Duration) {
-        drop(tokio::time::timeout(limit, self.shared.leased.notified()).await);
+        drop(tokio::time::timeout(limit, self.shared.lease_extended.notified()).await);
     }
 
-    /// Reports what a keeper sees of a primary.
+    /// Reports a symptom that a keeper observes on a primary.
     pub fn report(&self, symptom: Symptom) {
         drop(self.symptoms.try_send(symptom));
     }
 
-    /// Notes that a returning lease is given up: all its connections are closed.
+    /// Records that a returning lease is given up: the keeper has closed all
+    /// connections of the group.
     pub fn give_up(&self, group: Name) {
         let mut returned = self.shared.returned.lock().unwrap_or_else(PoisonError::into_inner);
         if !returned.contains(&group) {
@@ -110,7 +119,8 @@
         self.shared.given_up.notify_one();
     }
 
-    /// Notes that the work for earlier primaries of a group is over.
+    /// Records that the keeper has ended its work for the earlier primaries of a
+    /// group.
     pub fn seal(&self, seal: Seal) {
         let mut seals = self.shared.seals.lock().unwrap_or_else(PoisonError::into_inner);
         seals.insert(seal.group.clone(), seal);
@@ -123,7 +133,7 @@
         self.shared.sealed.notified().await;
     }
 
-    /// The newest seal of each group.
+    /// Returns the newest seal of each group.
     pub fn seals(&self) -> Vec<Seal> {
         let seals = self.shared.seals.lock().unwrap_or_else(PoisonError::into_inner);
         seals.values().cloned().collect()
@@ -134,7 +144,7 @@
         self.shared.given_up.notified().await;
     }
 
-    /// Groups given up since control last heard of it.
+    /// Returns the groups given up since the last call.
     pub fn take_returned(&self) -> Vec<Name> {
         let mut returned = self.shared.returned.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut returned)
