--- a/components/entry/examples/idle.rs
+++ b/components/entry/examples/idle.rs
@@ -1,8 +1,8 @@
-//! Measures what idle callers cost a front: memory for each, after each has
-//! run one statement.
+//! Measures the memory that a front uses for each idle caller, after each caller
+//! has run one statement.
 //!
-//! The callers' ends are sockets of the same process, so their part is counted
-//! too. The argument is the number of callers.
+//! The callers' sockets belong to the same process, so their memory is included.
+//! The argument is the number of callers.
 
 #[path = "../../pg/tests/server/mod.rs"]
 mod server;
@@ -15,10 +15,11 @@
 
 const DEFAULT_CALLERS: usize = 10_000;
 
-/// A start as service `web` in group `booking`, and one statement.
-const START: &[u8] = b"\0\0\0\x23\0\x03\0\0user\0web\0database\0booking\0\0Q\0\0\0\x0dselect 1\0";
+/// Startup message for service `web` and group `booking`, and one statement.
+const START_AND_QUERY: &[u8] =
+    b"\0\0\0\x23\0\x03\0\0user\0web\0database\0booking\0\0Q\0\0\0\x0dselect 1\0";
 
-/// The end of the answer to a cycle.
+/// ReadyForQuery, which ends the answer to a query cycle.
 const READY: &[u8] = b"Z\0\0\0\x05I";
 
 fn resident_kib() -> u64 {
@@ -30,10 +31,10 @@
 
 async fn call(address: std::net::SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.expect("the front listens");
-    stream.write_all(START).await.expect("the front reads");
+    stream.write_all(START_AND_QUERY).await.expect("the front reads");
     let mut answer = Vec::new();
-    let ready = |answer: &[u8]| answer.windows(READY.len()).filter(|w| *w == READY).count();
-    while ready(&answer) < 2 {
+    let count_ready = |answer: &[u8]| answer.windows(READY.len()).filter(|w| *w == READY).count();
+    while count_ready(&answer) < 2 {
         let read = stream.read_buf(&mut answer).await.expect("the front answers");
         assert!(read > 0, "the front closed: {}", String::from_utf8_lossy(&answer));
     }
@@ -54,7 +55,7 @@
     let after = resident_kib();
     let each = (after - before) * 1_024 / callers.max(1) as u64;
     println!("{callers} callers: {before} KiB before, {after} KiB after, {each} bytes each");
-    let late = std::time::Instant::now();
+    let started = std::time::Instant::now();
     drop(call(bench.address).await);
-    println!("one more caller in {} us", late.elapsed().as_micros());
+    println!("served one more caller in {} us", started.elapsed().as_micros());
 }
--- a/components/entry/tests/follow.rs
+++ b/components/entry/tests/follow.rs
@@ -1,4 +1,4 @@
-//! An entry that follows control members of one function each.
+//! The link of an entry to control, against scripted control members.
 
 use std::net::SocketAddr;
 
@@ -36,16 +36,20 @@
     (listener, address)
 }
 
+/// Accepts the entry's link; returns it with the entry's first message.
 async fn accept(listener: &TcpListener) -> (Reader, Writer, messages::Follow) {
     let (stream, _) = listener.accept().await.unwrap();
     let own = Peer::new("c1", 1, Purpose::Control);
     let (_, mut reader, writer) = link::accept(stream, &own, &key()).await.unwrap();
     let first: Up = reader.next().await.unwrap().unwrap();
-    let Some(up::Body::Follow(follow)) = first.body else { panic!("a Follow is due: {first:?}") };
+    let Some(up::Body::Follow(follow)) = first.body else {
+        panic!("expected a Follow, got {first:?}")
+    };
     (reader, writer, follow)
 }
 
-async fn beat(reader: &mut Reader) -> messages::Beat {
+/// Reads messages up to the next heartbeat.
+async fn next_beat(reader: &mut Reader) -> messages::Beat {
     loop {
         let message: Up = reader.next().await.unwrap().unwrap();
         if let Some(up::Body::Beat(beat)) = message.body {
@@ -58,10 +62,11 @@
     writer.send(&Down { body: Some(body) }).await.unwrap();
 }
 
+/// Log entries with these indexes; entry 1 registers the entry under test.
 fn entries(indexes: std::ops::RangeInclusive<u64>) -> down::Body {
-    let command =
+    let drain =
         |on| Command { body: Some(command::Body::Drain(Drain { entry: "e9".to_owned(), on })) };
-    let entry = |index| messages::Entry { index, command: Some(command(index % 2 == 1)) };
+    let entry = |index| messages::Entry { index, command: Some(drain(index % 2 == 1)) };
     let joined = Command { body: Some(command::Body::Join(join())) };
     let mut entries: Vec<_> = indexes.map(entry).collect();
     if let Some(first) = entries.iter_mut().find(|entry| entry.index == 1) {
@@ -92,14 +97,14 @@
     Entry { view, clock, handle: follow::start(settings) }
 }
 
-async fn applied(view: &View, index: u64) {
+async fn wait_for_index(view: &View, index: u64) {
     let mut changes = view.changes();
     while view.read(|state| state.index) < index {
         changes.changed().await.unwrap();
     }
 }
 
-async fn leased(entry: &Entry) {
+async fn wait_for_lease(entry: &Entry) {
     while !entry.view.has_lease(entry.clock.now()) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -110,23 +115,23 @@
 }
 
 #[tokio::test]
-async fn counts_a_lease_only_once_it_has_applied_so_far() {
+async fn extends_the_lease_only_once_the_confirmed_index_is_applied() {
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (mut reader, mut writer, follow) = accept(&listener).await;
     assert_eq!(follow.applied, 0);
-    let first = beat(&mut reader).await;
+    let first = next_beat(&mut reader).await;
     send(&mut writer, confirm(first.sequence, 3)).await;
     send(&mut writer, entries(1..=2)).await;
-    applied(&entry.view, 2).await;
+    wait_for_index(&entry.view, 2).await;
     assert_eq!(entry.view.lease_until(), Instant::ZERO);
     send(&mut writer, entries(3..=3)).await;
-    leased(&entry).await;
+    wait_for_lease(&entry).await;
     assert!(entry.view.lease_until() <= entry.clock.now() + control::lease::LEASE);
 }
 
 #[tokio::test]
-async fn dials_again_after_a_gap_and_names_what_it_has() {
+async fn dials_again_after_a_gap_and_reports_its_applied_index() {
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (_reader, mut writer, _) = accept(&listener).await;
@@ -142,10 +147,10 @@
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (_reader, mut writer, _) = accept(&listener).await;
-    let mut old = control::State::default();
-    old.skip(2);
+    let mut old_state = control::State::default();
+    old_state.skip(2);
     send(&mut writer, entries(1..=4)).await;
-    let bytes = old.encode();
+    let bytes = old_state.encode();
     let (half, length) = (bytes.len() / 2, bytes.len() as u64);
     for (offset, piece) in [(0, &bytes[..half]), (half, &bytes[half..])] {
         let image = Image {
@@ -157,32 +162,32 @@
         send(&mut writer, down::Body::Image(image)).await;
     }
     send(&mut writer, entries(3..=5)).await;
-    applied(&entry.view, 5).await;
+    wait_for_index(&entry.view, 5).await;
     assert!(entry.view.read(|state| state.entries.contains_key("e1")));
 }
 
 #[tokio::test]
 async fn moves_to_another_member_when_one_confirms_nothing() {
-    let ((first, one), (second, two)) = (listen().await, listen().await);
-    let _entry = start(vec![one, two]);
-    let mute = tokio::select! {
+    let ((first, first_address), (second, second_address)) = (listen().await, listen().await);
+    let _entry = start(vec![first_address, second_address]);
+    let silent = tokio::select! {
         link = accept(&first) => (link, &second),
         link = accept(&second) => (link, &first),
     };
-    let (_reader, _writer, follow) = accept(mute.1).await;
+    let (_reader, _writer, follow) = accept(silent.1).await;
     assert_eq!(follow.join, Some(join()));
 }
 
 #[tokio::test]
-async fn says_farewell_when_it_leaves() {
+async fn sends_a_leave_message_when_it_leaves() {
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (mut reader, _writer, _) = accept(&listener).await;
-    beat(&mut reader).await;
+    next_beat(&mut reader).await;
     entry.handle.leave().await;
     loop {
         let message: Option<Up> = reader.next().await.unwrap();
-        let body = message.expect("a Leave before the end").body;
+        let body = message.expect("a Leave before the link is closed").body;
         if matches!(body, Some(up::Body::Leave(_))) {
             break;
         }
@@ -214,7 +219,7 @@
 }
 
 #[test]
-fn owes_a_beat_when_a_lease_is_taken_back() {
+fn needs_a_heartbeat_when_a_lease_is_taken_back() {
     let (view, _symptoms) = View::new();
     let mut progress = Progress::new(Instant::ZERO, join());
     let content = r#"{"groups":{"g1":{"servers":3}}}"#.to_owned();
@@ -234,11 +239,11 @@
 }
 
 #[tokio::test]
-async fn tells_at_once_what_it_gave_up_and_until_it_is_taken() {
+async fn heartbeats_list_given_up_groups_until_their_leases_are_gone() {
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (mut reader, _writer, _) = accept(&listener).await;
-    beat(&mut reader).await;
+    next_beat(&mut reader).await;
     entry.view.write(|state| {
         let group = state.groups.entry(Name::new("g1").unwrap()).or_default();
         group.leases.push(wire::log::Lease {
@@ -250,12 +255,12 @@
     });
     entry.view.give_up(Name::new("g1").unwrap());
     entry.view.give_up(Name::new("g2").unwrap());
-    assert_eq!(beat(&mut reader).await.returned, ["g1"]);
-    assert_eq!(beat(&mut reader).await.returned, ["g1"]);
+    assert_eq!(next_beat(&mut reader).await.returned, ["g1"]);
+    assert_eq!(next_beat(&mut reader).await.returned, ["g1"]);
     entry.view.write(|state| {
         state.groups.clear();
     });
-    assert!(beat(&mut reader).await.returned.is_empty());
+    assert!(next_beat(&mut reader).await.returned.is_empty());
 }
 
 #[test]
@@ -265,14 +270,14 @@
     let later = |millis| start + Duration::from_millis(millis);
     let mut progress = Progress::new(start, join());
     progress.beat(start, &view, &mut Vec::new());
-    // the confirmation is behind what comes at the pace of a small link
+    // the confirmation comes after a long message that arrives over a slow link
     for step in 1..=30 {
         assert!(progress.check(later(step * 100), &view, step as usize * 25_000).is_ok());
     }
     assert!(progress.check(later(3_900), &view, 750_000).is_ok());
     let report = progress.check(later(4_200), &view, 750_000).unwrap_err();
     assert_eq!(*report.current_context(), Fault::Silent);
-    // and no message takes for ever
+    // a message that takes too long does not keep the link alive
     let mut progress = Progress::new(start, join());
     progress.beat(start, &view, &mut Vec::new());
     let silent =
--- a/components/entry/tests/keep.rs
+++ b/components/entry/tests/keep.rs
@@ -1,4 +1,4 @@
-//! The keeper against a stand-in of a database group.
+//! The keeper against a simulated database group.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use wire::log::{Lease, Share};
 
 const GROUP: &str = "entries-1";
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const KEY: &[u8] = b"a key of the keeper's tests";
 
 struct Bench {
@@ -42,12 +42,13 @@
     .unwrap()
 }
 
+/// Adds the group, its servers and the keeper's lease to the control state.
 fn install(state: &mut control::State, group: &Group) {
     state.index += 1;
     state.declarations = Arc::new(declarations());
     let seats = group.statuses().into_iter().map(|status| status.server);
     let mut shares = Vec::new();
-    let mut entry = control::Group::default();
+    let mut control_group = control::Group::default();
     for (seat, address) in seats.zip(group.servers()) {
         let server = control::Server {
             incarnation: 1,
@@ -63,11 +64,11 @@
         };
         shares.push(Share { server: seat.to_string(), connections: 8, slots: 2 });
         state.servers.insert(seat.clone(), server);
-        entry.seats.push(seat);
+        control_group.seats.push(seat);
     }
     let lease = Lease { entry: "entry-1".into(), incarnation: 1, shares, returning: false };
-    entry.leases.push(lease);
-    state.groups.insert(name(GROUP), entry);
+    control_group.leases.push(lease);
+    state.groups.insert(name(GROUP), control_group);
 }
 
 async fn bench() -> Bench {
@@ -91,14 +92,15 @@
         metrics: Arc::clone(&metrics),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     });
-    // a keeper takes a group on with the first look at its view
+    // the keeper refuses requests for the group until it has first read its view
     let mut front = Front::dial(address).await;
     while outcome(&front.sql("SELECT 1").await.1) == (Outcome::NotRun, Reason::WrongKeeper) {}
     Bench { group, keeper, view, address, metrics }
 }
 
 impl Bench {
-    /// Reads that the keeper sent to the primary, by cause, as its metrics say.
+    /// Returns the metric of declared reads that the keeper sent to the primary, by
+    /// cause.
     fn primary_reads(&self) -> String {
         let mut text = String::new();
         let metrics = self.metrics.lock().unwrap();
@@ -107,9 +109,10 @@
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    /// Runs a read that a replica must serve. On a host that stands still for
-    /// longer than replicas may be silent, none can be used, and the primary
-    /// serves it for that cause and no other; then it is asked again.
+    /// Runs a read that a replica must serve. If the host pauses for longer than a
+    /// replica may be silent, no replica is usable and the primary serves the read.
+    /// Checks that this is the only cause for using the primary, and repeats the
+    /// read in that case.
     async fn read_on_replica(&self, front: &mut Front, read: Run) -> Vec<u8> {
         for _ in 0..100 {
             let request = front.next_request();
@@ -165,44 +168,46 @@
     }
 
     async fn next(&mut self) -> answer::Body {
-        let next = tokio::time::timeout(PATIENCE, self.reader.next::<Answer>()).await;
+        let next = tokio::time::timeout(TIMEOUT, self.reader.next::<Answer>()).await;
         next.unwrap().unwrap().unwrap().body.unwrap()
     }
 
-    /// Runs a cycle; its whole answer and its end.
+    /// Runs a query cycle; returns its complete answer and its end.
     async fn ask(&mut self, run: Run) -> (Vec<u8>, End) {
         self.send(ask::Body::Run(run)).await;
-        let mut whole = Vec::new();
+        let mut payload = Vec::new();
         let mut parts = 0;
         loop {
             match self.next().await {
                 answer::Body::Part(part) => {
                     assert_eq!(part.sequence, parts);
                     parts += 1;
-                    whole.extend_from_slice(&part.payload);
+                    payload.extend_from_slice(&part.payload);
                 }
                 answer::Body::End(end) => {
                     assert_eq!((end.request, end.parts), (self.last, parts));
-                    return (whole, end);
+                    return (payload, end);
                 }
                 answer::Body::Closing(_) | answer::Body::Pong(_) => {}
             }
         }
     }
 
+    /// Runs a statement outside of a transaction.
     async fn sql(&mut self, sql: &str) -> (Vec<u8>, End) {
         let run = self.run(sql);
         self.ask(run).await
     }
 
-    /// Runs what must be done, without an error of the server.
-    async fn done(&mut self, sql: &str) {
+    /// Runs a statement that must succeed.
+    async fn run_ok(&mut self, sql: &str) {
         let (answer, end) = self.sql(sql).await;
         assert_eq!(outcome(&end), DONE, "{sql}");
         assert_ne!(answer.first(), Some(&b'E'), "{sql}");
     }
 
-    async fn within(&mut self, sql: &str) -> (Vec<u8>, End) {
+    /// Runs a statement within the open transaction.
+    async fn run_in_transaction(&mut self, sql: &str) -> (Vec<u8>, End) {
         let commits = sql == "COMMIT";
         let run = Run { within: true, commits, ..self.run(sql) };
         self.ask(run).await
@@ -213,7 +218,7 @@
     (end.outcome(), end.reason())
 }
 
-fn holds(answer: &[u8], text: &str) -> bool {
+fn contains(answer: &[u8], text: &str) -> bool {
     answer.windows(text.len()).any(|window| window == text.as_bytes())
 }
 
@@ -227,7 +232,7 @@
     assert_eq!(outcome(&end), DONE);
     let (answer, end) = front.sql("INSERT INTO heifers VALUES ('lansing-17')").await;
     assert_eq!((outcome(&end), end.status, end.replica), (DONE, u32::from(b'I'), false));
-    assert!(holds(&answer, "INSERT 0 1"));
+    assert!(contains(&answer, "INSERT 0 1"));
     let floor = end.mark;
     assert!(floor.is_some());
     let read = Run {
@@ -236,14 +241,14 @@
         patience_ms: 5_000,
         ..front.run("SELECT tag FROM heifers")
     };
-    assert!(holds(&bench.read_on_replica(&mut front, read).await, "lansing-17"));
+    assert!(contains(&bench.read_on_replica(&mut front, read).await, "lansing-17"));
     let read = Run {
         class: Class::Read as i32,
         fresh: true,
         patience_ms: 5_000,
         ..front.run("SELECT tag FROM heifers")
     };
-    assert!(holds(&bench.read_on_replica(&mut front, read).await, "lansing-17"));
+    assert!(contains(&bench.read_on_replica(&mut front, read).await, "lansing-17"));
     let read = Run {
         class: Class::Read as i32,
         age_ms: 1_000,
@@ -257,28 +262,29 @@
 async fn a_transaction_keeps_its_connection_and_ends_with_its_caller() {
     let bench = bench().await;
     let mut front = Front::dial(bench.address).await;
-    front.done("CREATE TABLE seats (number INTEGER)").await;
+    front.run_ok("CREATE TABLE seats (number INTEGER)").await;
     let (_, end) = front.sql("BEGIN").await;
     assert_eq!((outcome(&end), end.status), (DONE, u32::from(b'T')));
-    let (answer, _) = front.within("INSERT INTO seats VALUES (1)").await;
-    assert!(holds(&answer, "INSERT 0 1"));
+    let (answer, _) = front.run_in_transaction("INSERT INTO seats VALUES (1)").await;
+    assert!(contains(&answer, "INSERT 0 1"));
     let mut other = Front::dial(bench.address).await;
     let (answer, _) = other.sql("SELECT 'n' || count(*) FROM seats").await;
-    assert!(holds(&answer, "n0"));
-    let (_, end) = front.within("COMMIT").await;
+    assert!(contains(&answer, "n0"));
+    let (_, end) = front.run_in_transaction("COMMIT").await;
     assert_eq!((outcome(&end), end.status), (DONE, u32::from(b'I')));
     assert!(end.mark.is_some());
-    front.done("BEGIN").await;
-    let (answer, _) = front.within("INSERT INTO seats VALUES (2)").await;
-    assert!(holds(&answer, "INSERT 0 1"));
+    front.run_ok("BEGIN").await;
+    let (answer, _) = front.run_in_transaction("INSERT INTO seats VALUES (2)").await;
+    assert!(contains(&answer, "INSERT 0 1"));
     front.send(ask::Body::Leave(Leave { caller: 1 })).await;
-    let (_, end) = front.within("COMMIT").await;
+    let (_, end) = front.run_in_transaction("COMMIT").await;
     assert_eq!(outcome(&end), (Outcome::NotRun, Reason::TransactionGone));
     let (answer, _) = other.sql("SELECT 'n' || count(*) FROM seats").await;
-    assert!(holds(&answer, "n1"));
+    assert!(contains(&answer, "n1"));
 }
 
-/// Fences, promotes and follows, as control does.
+/// Fails over as control does: fences all servers, promotes the one with the
+/// newest log, and lets the others follow it.
 async fn fail_over(group: &Group, term: u64) {
     let mut fenced = Vec::new();
     for address in group.servers() {
@@ -301,7 +307,7 @@
 async fn a_crash_of_the_primary_loses_and_doubles_nothing() {
     let bench = bench().await;
     let mut front = Front::dial(bench.address).await;
-    front.done("CREATE TABLE bookings (number INTEGER)").await;
+    front.run_ok("CREATE TABLE bookings (number INTEGER)").await;
     let mut callers = tokio::task::JoinSet::new();
     for caller in 0..4_u64 {
         let address = bench.address;
@@ -311,7 +317,7 @@
             for number in 0..100 {
                 let id = caller * 1_000 + number;
                 let (answer, end) = front.sql(&format!("INSERT INTO bookings VALUES ({id})")).await;
-                let done = end.outcome() == Outcome::Done && holds(&answer, "INSERT 0 1");
+                let done = end.outcome() == Outcome::Done && contains(&answer, "INSERT 0 1");
                 ends.push((id, if done { Outcome::Done } else { end.outcome() }, done));
             }
             ends
@@ -339,17 +345,17 @@
 async fn a_planned_stop_finishes_what_runs_and_closes_all_connections() {
     let bench = bench().await;
     let mut front = Front::dial(bench.address).await;
-    front.done("CREATE TABLE coaches (number INTEGER)").await;
-    front.done("BEGIN").await;
-    let (answer, _) = front.within("INSERT INTO coaches VALUES (1)").await;
-    assert!(holds(&answer, "INSERT 0 1"));
+    front.run_ok("CREATE TABLE coaches (number INTEGER)").await;
+    front.run_ok("BEGIN").await;
+    let (answer, _) = front.run_in_transaction("INSERT INTO coaches VALUES (1)").await;
+    assert!(contains(&answer, "INSERT 0 1"));
     let closing = tokio::spawn(bench.keeper.close());
     let mut other = Front::dial(bench.address).await;
     while outcome(&other.sql("SELECT 1").await.1) != (Outcome::NotRun, Reason::Closing) {}
     assert!(!closing.is_finished());
-    let (_, end) = front.within("COMMIT").await;
+    let (_, end) = front.run_in_transaction("COMMIT").await;
     assert_eq!(outcome(&end), DONE);
-    tokio::time::timeout(PATIENCE, closing).await.unwrap().unwrap();
+    tokio::time::timeout(TIMEOUT, closing).await.unwrap().unwrap();
     let group = &bench.group;
     assert!(group.statuses().iter().any(|status| status.received > Position(2)));
 }
@@ -358,10 +364,10 @@
 async fn a_returning_lease_is_given_up_once_all_is_finished() {
     let bench = bench().await;
     let mut front = Front::dial(bench.address).await;
-    front.done("CREATE TABLE coaches (number INTEGER)").await;
-    front.done("BEGIN").await;
-    let (answer, _) = front.within("INSERT INTO coaches VALUES (1)").await;
-    assert!(holds(&answer, "INSERT 0 1"));
+    front.run_ok("CREATE TABLE coaches (number INTEGER)").await;
+    front.run_ok("BEGIN").await;
+    let (answer, _) = front.run_in_transaction("INSERT INTO coaches VALUES (1)").await;
+    assert!(contains(&answer, "INSERT 0 1"));
     bench.view.write(|state| {
         state.index += 1;
         let group = state.groups.get_mut(GROUP).unwrap();
@@ -371,12 +377,12 @@
     while outcome(&other.sql("SELECT 1").await.1) != (Outcome::NotRun, Reason::WrongKeeper) {}
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert!(bench.view.take_returned().is_empty());
-    let (_, end) = front.within("COMMIT").await;
+    let (_, end) = front.run_in_transaction("COMMIT").await;
     assert_eq!(outcome(&end), DONE);
     let given_up = async {
         while bench.view.take_returned() != [name(GROUP)] {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, given_up).await.unwrap();
+    tokio::time::timeout(TIMEOUT, given_up).await.unwrap();
 }
--- a/components/entry/tests/whole.rs
+++ b/components/entry/tests/whole.rs
@@ -1,4 +1,4 @@
-//! Whole entries, from a caller to a stand-in of a database group.
+//! Complete entries, from a caller to a simulated database group.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,15 +22,15 @@
     Name::new(text).unwrap()
 }
 
-async fn start(own: &str, clock: Clock) -> (entry::Addresses, Handle) {
-    let any = "127.0.0.1:0".parse().unwrap();
+async fn start(entry_name: &str, clock: Clock) -> (entry::Addresses, Handle) {
+    let any_port = "127.0.0.1:0".parse().unwrap();
     let bound = entry::bind(entry::Settings {
-        name: name(own),
+        name: name(entry_name),
         zone: name("lansing"),
         incarnation: 1,
-        callers: any,
-        link: any,
-        web: any,
+        callers: any_port,
+        link: any_port,
+        web: any_port,
         sole: false,
         weight: 1,
         controls: Vec::new().into(),
@@ -55,7 +55,7 @@
     }));
     let mut state = control::State { index: 1, version: 1, ..control::State::default() };
     state.declarations = Arc::new(declarations.unwrap());
-    let mut known = control::Group::default();
+    let mut control_group = control::Group::default();
     let mut shares = Vec::new();
     for (status, address) in group.statuses().into_iter().zip(group.servers()) {
         let server = control::Server {
@@ -71,10 +71,10 @@
             primary: false,
         };
         shares.push(Share { server: status.server.to_string(), connections: 6, slots: 1 });
-        known.seats.push(status.server.clone());
+        control_group.seats.push(status.server.clone());
         state.servers.insert(status.server, server);
     }
-    for (own, (addresses, _)) in ["entry-1", "entry-2", "entry-3"].iter().zip(entries) {
+    for (entry_name, (addresses, _)) in ["entry-1", "entry-2", "entry-3"].iter().zip(entries) {
         let entry = control::state::Entry {
             sole: false,
             weight: 1,
@@ -84,13 +84,13 @@
             zone: name("lansing"),
             draining: false,
         };
-        state.entries.insert(name(own), entry);
+        state.entries.insert(name(entry_name), entry);
     }
     for keeper in KEEPERS {
         let (entry, shares) = (keeper.to_owned(), shares.clone());
-        known.leases.push(Lease { entry, incarnation: 1, shares, returning: false });
+        control_group.leases.push(Lease { entry, incarnation: 1, shares, returning: false });
     }
-    state.groups.insert(name(GROUP), known);
+    state.groups.insert(name(GROUP), control_group);
     state
 }
 
@@ -99,12 +99,12 @@
     let group = standin::Group::start(settings).await.unwrap();
     let clock = Clock::start();
     let mut entries = Vec::new();
-    for own in ["entry-1", "entry-2", "entry-3"] {
-        entries.push(start(own, clock).await);
+    for entry_name in ["entry-1", "entry-2", "entry-3"] {
+        entries.push(start(entry_name, clock).await);
     }
     let state = state(&group, &entries);
     for (_, handle) in &entries {
-        handle.view().write(|known| known.clone_from(&state));
+        handle.view().write(|current| current.clone_from(&state));
         handle.view().extend_lease(Instant::from_millis(3_600_000));
     }
     Bench { group, entries }
@@ -128,6 +128,7 @@
     }
 }
 
+/// Counts seats with a declared read, which a replica may serve.
 async fn count(client: &Client) -> usize {
     let rows = client.query("SELECT seat FROM seats", &[]).await.unwrap();
     rows.len()
@@ -157,8 +158,8 @@
     let roaming = bench.connect(0).await;
     roaming.batch_execute(&format!("SET trefoil.session = '{}'", token.unwrap())).await.unwrap();
     assert_eq!(count(&roaming).await, 4);
-    let bare = bench.connect(1).await;
-    assert_eq!(count(&bare).await, 4);
+    let tokenless = bench.connect(1).await;
+    assert_eq!(count(&tokenless).await, 4);
     bench.stop().await;
 }
 
@@ -192,41 +193,45 @@
         written += writer.await.unwrap();
     }
     assert!(written > 0);
-    // not of the kind that accepts an age
+    // this statement is not of the declared kind that may be served with an age
     let rows = first.query("SELECT * FROM seats", &[]).await.unwrap();
     assert_eq!(rows.len(), written);
     bench.stop().await;
 }
 
-/// What a writer was told of each of its rows.
+/// Rows of a writer by the result that it got for each.
 #[derive(Default)]
-struct Told {
+struct Results {
     done: Vec<String>,
     not_run: Vec<String>,
     unknown: Vec<String>,
 }
 
-async fn write(client: Client, writer: usize, stopped: tokio::sync::watch::Receiver<bool>) -> Told {
-    let mut told = Told::default();
+async fn write(
+    client: Client,
+    writer: usize,
+    stopped: tokio::sync::watch::Receiver<bool>,
+) -> Results {
+    let mut results = Results::default();
     let mut written = 0;
     while !*stopped.borrow() {
         let seat = format!("{writer}-{written}");
         written += 1;
         let result = client.execute("INSERT INTO seats VALUES ($1)", &[&seat]).await;
-        match result.map_err(|error| error.code().expect("a code").code().to_owned()) {
-            Ok(_) => told.done.push(seat),
-            Err(code) if code == "TF001" => told.not_run.push(seat),
+        match result.map_err(|error| error.code().expect("an SQLSTATE").code().to_owned()) {
+            Ok(_) => results.done.push(seat),
+            Err(code) if code == "TF001" => results.not_run.push(seat),
             Err(code) => {
                 assert_eq!(code, "TF002");
-                told.unknown.push(seat);
+                results.unknown.push(seat);
             }
         }
     }
-    told
+    results
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_keeper_that_dies_makes_no_answer_untrue() {
+async fn outcomes_are_correct_when_a_keeper_crashes() {
     let mut bench = bench().await;
     let first = bench.connect(2).await;
     first.batch_execute("CREATE TABLE seats (seat TEXT)").await.unwrap();
@@ -240,17 +245,17 @@
     keeper.kill();
     tokio::time::sleep(Duration::from_millis(500)).await;
     stop.send_replace(true);
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for writer in writers {
-        told.push(writer.await.unwrap());
+        results.push(writer.await.unwrap());
     }
     let rows = first.query("SELECT * FROM seats", &[]).await.unwrap();
     let count = |seat: &String| rows.iter().filter(|row| row.get::<_, &str>(0) == seat).count();
-    for told in &told {
-        assert!(told.done.iter().all(|seat| count(seat) == 1));
-        assert!(told.not_run.iter().all(|seat| count(seat) == 0));
-        assert!(told.unknown.iter().all(|seat| count(seat) <= 1));
+    for result in &results {
+        assert!(result.done.iter().all(|seat| count(seat) == 1));
+        assert!(result.not_run.iter().all(|seat| count(seat) == 0));
+        assert!(result.unknown.iter().all(|seat| count(seat) <= 1));
     }
-    assert!(told.iter().all(|told| told.done.len() > 10));
+    assert!(results.iter().all(|result| result.done.len() > 10));
     bench.stop().await;
 }
