--- a/components/entry/src/front/dispatch.rs
+++ b/components/entry/src/front/dispatch.rs
@@ -83,9 +83,9 @@
         let mut changes = self.front.view.changes();
         loop {
             let now = self.front.clock.now();
-            if !self.front.view.leased(now) {
+            if !self.front.view.has_lease(now) {
                 if now < until && expects_lease(self.front, now) {
-                    self.front.view.extended(LEASE_CHECK_INTERVAL).await;
+                    self.front.view.wait_for_extension(LEASE_CHECK_INTERVAL).await;
                     continue;
                 }
                 let lease = attempt::not_run(Reason::Lease);
--- a/components/entry/src/front/login.rs
+++ b/components/entry/src/front/login.rs
@@ -126,7 +126,7 @@
         return Err(refuse(Feature::Replication.into()));
     }
     authenticate(front, conn, user).await?;
-    if !front.view.leased(front.clock.now()) {
+    if !front.view.has_lease(front.clock.now()) {
         let message = "this entry has lost touch with control";
         return Err(refuse(Problem::new(Code::Unready, message)));
     }
--- a/components/entry/src/front/plain.rs
+++ b/components/entry/src/front/plain.rs
@@ -62,7 +62,7 @@
             return Ok(None);
         }
     };
-    if !front.view.leased(front.clock.now()) {
+    if !front.view.has_lease(front.clock.now()) {
         // without a lease nothing can be run, and the database may be declared in a
         // newer state that this entry has not received
         conn.put(&Answer::Problem(Problem::Busy));
@@ -81,9 +81,9 @@
     let until = front.clock.now() + READY_TIMEOUT;
     loop {
         let now = front.clock.now();
-        if front.view.leased(now) || now >= until || !expects_lease(front, now) {
+        if front.view.has_lease(now) || now >= until || !expects_lease(front, now) {
             return;
         }
-        front.view.extended(until.since(now)).await;
+        front.view.wait_for_extension(until.since(now)).await;
     }
 }
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -485,7 +485,7 @@
     assert_eq!(code(connect(&bench.config()).await), "57P03");
     open.simple_query("COMMIT").await.unwrap();
     // with a new lease the entry accepts callers again
-    bench.view.extend(Instant::from_millis(u64::from(u32::MAX)));
+    bench.view.extend_lease(Instant::from_millis(u64::from(u32::MAX)));
     let client = bench.connect().await;
     assert_eq!(rows(&client, "select 1").await.unwrap(), ["select 1"]);
 }
