--- a/components/keeper/src/admission.rs
+++ b/components/keeper/src/admission.rs
@@ -10,7 +10,7 @@
 use crate::request::{Lane, Request, Stage};
 use crate::service::Service;
 
-/// Retry delay sent to callers while the entry does not hold its lease.
+/// Retry delay sent to callers while the entry does not hold its own lease.
 const LEASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Retry delay sent to callers whose service has a full queue.
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Rolls back the open transaction of a caller that has disconnected or
-    /// started a new request outside of it.
+    /// Rolls back an open transaction whose caller has disconnected or started
+    /// a new request outside of it, or which may not stay idle any longer.
     pub(crate) fn abandon(&mut self, now: Instant, key: Key<Connection>, out: &mut Vec<Effect>) {
         self.unpin(key);
         if let Some(Work::Pinned(_)) = self.conns.get(key).map(|conn| conn.work) {
--- a/components/keeper/src/cycle.rs
+++ b/components/keeper/src/cycle.rs
@@ -243,8 +243,9 @@
         self.resolve(now, out);
     }
 
-    /// Closes a connection during its cycle or transaction, after a message out
-    /// of order or because its primary was replaced.
+    /// Closes a connection during its cycle or transaction: after a message out
+    /// of order, or because its primary was replaced, its statement stalled or
+    /// the outcome of its cycle is unconfirmed.
     pub(crate) fn abort_conn(
         &mut self,
         now: Instant,
@@ -290,8 +291,8 @@
         self.resolve(now, out);
     }
 
-    /// Finishes requests that waited for the open transaction of a lost
-    /// connection.
+    /// Finishes requests that waited for an open transaction whose connection
+    /// was closed or rolled back.
     pub(crate) fn drop_urgent(
         &mut self,
         now: Instant,
--- a/components/keeper/src/dispatch.rs
+++ b/components/keeper/src/dispatch.rs
@@ -236,9 +236,9 @@
         attempt
     }
 
-    /// Opens connections ahead of demand. A server that could not be reached
-    /// gets one trial connection: no requests are sent to such a server, so
-    /// nothing else would show that it has recovered.
+    /// Opens connections ahead of demand. In an unfenced group, a server that
+    /// could not be reached gets one trial connection: no requests are sent to
+    /// such a server, so nothing else would show that it has recovered.
     fn connect(&mut self, now: Instant, key: Key<Server>, out: &mut Vec<Effect>) {
         if !self.may_keep_idle(key) {
             return;
@@ -287,14 +287,14 @@
         });
         let mut idle: Vec<_> = idle.collect();
         idle.sort_unstable();
-        let (mut standing, mut ready) = (self.connection_count(key), self.idle_count(key));
+        let (mut total, mut ready) = (self.connection_count(key), self.idle_count(key));
         for (since, conn) in idle {
             let old = ready > warm && now.since(since) > IDLE_LIMIT;
-            if keeps && standing <= limit && !old {
+            if keeps && total <= limit && !old {
                 break;
             }
             self.close_conn(conn, out);
-            standing -= 1;
+            total -= 1;
             ready -= 1;
         }
     }
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -115,7 +115,8 @@
     },
     /// Servers, leases or declarations changed.
     Setup(Setup),
-    /// The entry gained (`true`) or lost (`false`) its lease.
+    /// The entry gained (`true`) or lost (`false`) its own lease, without which
+    /// its lease on the group is not in force either.
     Leased(bool),
     /// The process is shutting down: no new requests are admitted.
     Close,
@@ -190,7 +191,7 @@
 pub struct Unfenced {
     /// Intended or established term.
     pub term: Term,
-    /// Index of the control log that the setup was taken from.
+    /// Control log index at which the setup was taken.
     pub index: u64,
 }
 
@@ -228,7 +229,8 @@
     /// queues statements by itself, so that a keeper may use slots that other
     /// keepers leave idle.
     pub share: u32,
-    /// Whether the server is to be removed and gets no new work.
+    /// Whether the server is to be removed. A leaving server gets no new work,
+    /// except the primary of an unfenced group for a limited time.
     pub leaving: bool,
     /// Whether the server has stopped announcing itself.
     pub expired: bool,
@@ -315,7 +317,8 @@
         term: Term,
         /// Highest mark that was acknowledged to a caller.
         mark: Option<Mark>,
-        /// Index of the control log when the commit of `mark` was sent.
+        /// Control log index known when the commit of `mark` was sent, or 0
+        /// without a mark.
         index: u64,
     },
     /// Feed [`Event::Tick`] at the given time.
@@ -355,7 +358,7 @@
     pub term: Term,
     /// Whether control names a primary.
     pub led: bool,
-    /// Whether the entry holds its lease.
+    /// Whether the entry holds its own lease.
     pub leased: bool,
     /// Version of the configuration that admitted the request.
     pub version: u64,
--- a/components/keeper/src/group.rs
+++ b/components/keeper/src/group.rs
@@ -45,10 +45,13 @@
     pub(crate) declared: u32,
     /// Primary named by the control log.
     pub(crate) control_primary: Option<Name>,
+    /// Lease of the entry on the group.
     pub(crate) lease: Lease,
+    /// Whether the entry holds its own lease.
     pub(crate) leased: bool,
     pub(crate) closing: bool,
-    /// When the lease was lost or the shutdown began.
+    /// When the lease on the group was lost or had to be returned, or the
+    /// shutdown began.
     pub(crate) closing_since: Option<Instant>,
     pub(crate) lease_released: bool,
     pub(crate) declarations: Arc<Declarations>,
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Violates a rule from now on.
+    /// Makes the group violate a rule from now on.
     #[cfg(feature = "fault")]
     pub fn inject_flaw(&mut self, flaw: Flaw) {
         self.flaw = Some(flaw);
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -1,9 +1,11 @@
-//! The half of an entry that owns connections to backend servers.
+//! The half of an entry (a proxy process) that owns the connections to backend
+//! servers. The other half, the front, owns the connections of callers.
 //!
 //! A [`Group`] makes the decisions for one database group: which request runs
 //! next and on which server, when its answer may be released, and the outcome
-//! of a request whose connection was lost. A group performs no I/O: the host
-//! feeds it [`Event`]s and performs its [`Effect`]s.
+//! of a request whose connection was lost. A group performs no I/O: the host,
+//! which is the code that embeds the group, feeds it [`Event`]s and performs
+//! its [`Effect`]s.
 //!
 //! - `admission`: requests, credit and callers that disconnect.
 //! - `shedding`: requests refused under overload.
@@ -13,6 +15,7 @@
 //! - `resolve`: acknowledgement by a majority, and requests in doubt.
 //! - `finish`: ends of requests, and retries.
 //! - `health`: symptoms of a failed primary.
+//! - `setup`: servers, leases and declarations from the control log.
 //! - `unfenced`: groups whose servers acknowledge by themselves.
 
 mod admission;
--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -23,7 +23,8 @@
 const SAMPLE_INTERVAL: (Duration, Duration) =
     (Duration::from_millis(10), Duration::from_millis(100));
 
-/// Time that a read waits for a busy replica before an idle primary serves it.
+/// Minimum time that a read waits for a busy replica before an idle primary
+/// serves it.
 const BUSY_PATIENCE: Duration = Duration::from_millis(100);
 
 /// Sampling rounds. One round serves all requests that arrived before its
@@ -36,7 +37,9 @@
     round: Option<Instant>,
     /// The latest sample.
     pub(crate) verified: Option<Sample>,
+    /// End of background sampling for reads that accept a bounded age.
     age_reads_until: Instant,
+    /// Smallest age that these reads accept.
     age: Duration,
 }
 
--- a/components/keeper/src/request.rs
+++ b/components/keeper/src/request.rs
@@ -14,8 +14,8 @@
 /// Maximum number of bytes of one answer that are held back.
 pub(crate) const MAX_HELD_BYTES: usize = 1 << 20;
 
-/// Inverse of the largest part of a request's time to its deadline that is
-/// reserved for running it.
+/// The time reserved for running a request is at most the time from its arrival
+/// to its deadline, divided by this number.
 const MARGIN_DIVISOR: u32 = 10;
 
 /// Queue that a request waits in.
@@ -77,17 +77,22 @@
     pub(crate) service: Key<Service>,
     pub(crate) run: Run,
     pub(crate) class: Class,
+    /// Mark that the session has seen and that the request must see.
     pub(crate) floor: Option<Mark>,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
     pub(crate) stage: Stage,
+    /// Reason to count if the primary serves the read.
     pub(crate) cause: Cause,
+    /// Number of attempts before the current one.
     pub(crate) tries: u32,
     /// Whether an earlier attempt may have run.
     pub(crate) may_have_run: bool,
-    /// Whether the caller has disconnected or given up the request.
+    /// Whether the caller or its front has disconnected.
     pub(crate) orphan: bool,
+    /// Number of bytes of the answer that the caller still accepts.
     pub(crate) window: u64,
+    /// Number of parts of the answer already sent.
     pub(crate) parts: u64,
     pub(crate) attempt: Attempt,
     pub(crate) end: Option<End>,
@@ -121,11 +126,13 @@
     pub(crate) mark_after: Option<Mark>,
     /// End of the cycle, once it has ended.
     pub(crate) completion: Option<Completion>,
-    /// When the connection was lost.
+    /// When the connection was lost, or when the mark after the cycle was found
+    /// to be of another term.
     pub(crate) lost_at: Option<Instant>,
-    /// Whether a COMMIT was completed.
+    /// Whether a COMMIT was completed, or a statement that may commit by itself.
     pub(crate) committed: bool,
     /// Whether the answer is released only after a majority holds `mark_after`.
+    /// In an unfenced group: whether the server acknowledged a commit.
     pub(crate) durable: bool,
     /// If set, the answer is released only after a sample taken since this time
     /// confirms the term.
@@ -170,8 +177,9 @@
         self.class == Class::Read && !self.run.within
     }
 
-    /// Whether the request may have committed data, regardless of its declared
-    /// class.
+    /// Whether the request may have committed data. A request outside of a
+    /// transaction may, whatever its declared class; within a transaction, only
+    /// a request that is not declared as a read and commits.
     pub(crate) fn may_commit(&self) -> bool {
         let reads = self.run.within && self.class == Class::Read;
         !reads && (!self.run.within || self.run.commits || self.attempt.committed)
@@ -187,10 +195,10 @@
         self.attempt.completion.is_some_and(|completion| completion.failed)
     }
 
-    /// Time before the deadline after which the request is no longer sent.
-    /// Based on the typical run time, but limited to a part of the request's
-    /// own time to its deadline, so that slow statements of other callers do
-    /// not use up a short deadline.
+    /// Length of the period before the deadline in which the request is no
+    /// longer sent. Based on the typical run time, but limited to a part of the
+    /// request's own time to its deadline, so that slow statements of other
+    /// callers do not use up a short deadline.
     pub(crate) fn margin(&self, typical: Duration) -> Duration {
         typical.min(self.deadline.since(self.arrived) / MARGIN_DIVISOR)
     }
--- a/components/keeper/src/resolve.rs
+++ b/components/keeper/src/resolve.rs
@@ -76,7 +76,8 @@
         let Some(report) = server.and_then(|server| server.report.as_ref()) else {
             return;
         };
-        // a later position of the same primary is an upper bound of the cycle, as a mark is
+        // a later position of the same primary is an upper bound of the cycle's records, and so
+        // serves as the mark
         if let (None, Some(completion)) = (attempt.mark_after, attempt.completion)
             && attempt.durable
             && report.requested_at > completion.at
@@ -182,15 +183,15 @@
         let terms = self.servers.iter().filter_map(|(_, server)| server.status());
         let mut terms: Vec<_> = terms.map(|status| status.term).collect();
         terms.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(left_term) = terms.get(self.majority() - 1).copied() else {
+        let Some(majority_term) = terms.get(self.majority() - 1).copied() else {
             return;
         };
         let replaced = self.conns.iter().filter(|(_, conn)| match conn.work {
             Work::Busy(key) | Work::Marking(key) => self
                 .requests
                 .get(key)
-                .is_some_and(|r| r.attempt.primary && r.attempt.term < left_term),
-            Work::Pinned(_) => conn.term < left_term,
+                .is_some_and(|r| r.attempt.primary && r.attempt.term < majority_term),
+            Work::Pinned(_) => conn.term < majority_term,
             _ => false,
         });
         let replaced: Vec<_> = replaced.map(|(key, _)| key).collect();
@@ -262,7 +263,8 @@
             _ => Outcome::Unknown,
         };
     }
-    // without a mark the cycle may have run in a later term of the same server
+    // without a mark the cycle may have run in a later term of the same server, unless the
+    // established term is the only later one and another server leads in it
     let only = next.term == established.term && attempt.server != Some(established.primary);
     if truncated && only { Outcome::NotRun } else { Outcome::Unknown }
 }
--- a/components/keeper/src/server.rs
+++ b/components/keeper/src/server.rs
@@ -22,7 +22,7 @@
     pub(crate) last_mark: Mark,
     /// When the last report was received, or when the server was added.
     pub(crate) last_heard: Instant,
-    /// Failure of the last status request or connection attempt, if it failed.
+    /// How the server failed to respond, until it responds again.
     pub(crate) outage: Option<Outage>,
     /// Time of the last failure. Reports requested earlier do not qualify the
     /// server for reads.
@@ -39,8 +39,8 @@
     pub(crate) commits: Commits,
     /// Estimated replication lag, where answers report it.
     pub(crate) lag: Lag,
-    /// No statement is sent to the server before this time, because it had no
-    /// free slot.
+    /// Reads that a replica may serve are not sent to the server before this
+    /// time, because it had no free slot.
     pub(crate) full_until: Instant,
     /// When the server began to leave the group.
     pub(crate) leaving_since: Option<Instant>,
--- a/components/keeper/src/setup.rs
+++ b/components/keeper/src/setup.rs
@@ -11,8 +11,8 @@
 use crate::server::Server;
 use crate::unfenced::Lag;
 
-/// Time for which an open transaction may continue after its lease was lost or
-/// is being returned.
+/// Time for which open transactions may continue after the lease on the group
+/// was lost or has to be returned, or the shutdown began.
 const TRANSACTION_GRACE: Duration = Duration::from_secs(10);
 
 impl Group {
@@ -42,7 +42,8 @@
         self.refuse_waiting(now, Reason::Closing, out);
     }
 
-    /// Releases a lease that is being returned once no connection is open.
+    /// Releases the lease on the group during its return or the shutdown, once
+    /// no connection is open.
     pub(crate) fn release_lease(&mut self, out: &mut Vec<Effect>) {
         let due = self.lease == Lease::Returning || self.closing;
         if due && self.conns.is_empty() && !self.lease_released {
@@ -127,6 +128,7 @@
         self.conns.iter().filter(|(_, conn)| conn.server == server).count() as u32
     }
 
+    /// Number of connections to a server that are idle or being opened.
     pub(crate) fn idle_count(&self, server: Key<Server>) -> u32 {
         let ready = |work| matches!(work, Work::Idle(_) | Work::Opening);
         let of = self.conns.iter().filter(|(_, conn)| conn.server == server && ready(conn.work));
--- a/components/keeper/src/shedding.rs
+++ b/components/keeper/src/shedding.rs
@@ -1,11 +1,11 @@
-//! Load shedding: requests that could not be answered in time are refused at
-//! once.
+//! Load shedding in unfenced groups: requests that could not be answered in
+//! time are refused at once.
 //!
 //! Without shedding, queues under overload grow until all waiting requests are
-//! answered late or not at all. A request is refused if the work queued before
-//! it takes longer than its objective, so that admitted requests are answered
-//! in time. Requests that wait because no server is usable, as during a change
-//! of primary, are not refused for load.
+//! answered late or not at all. A request is refused if the work queued up to
+//! and including it takes longer than its objective, so that admitted requests
+//! are answered in time. Requests that wait because no server is usable, as
+//! during a change of primary, are not refused for load.
 
 use base::prelude::*;
 
@@ -15,8 +15,8 @@
 use crate::unfenced::{Need, will_show_soon};
 
 impl Group {
-    /// Whether the work queued before a new request takes longer than the
-    /// request's objective.
+    /// Whether the work queued up to and including a new request takes longer
+    /// than the request's objective. Always false in a fenced group.
     pub(crate) fn would_wait_too_long(&self, now: Instant, key: Key<Request>) -> bool {
         let Some(request) = self.requests.get(key).filter(|_| self.is_unfenced()) else {
             return false;
@@ -26,7 +26,7 @@
             return false;
         };
         let work = self.typical_run_time * self.waiting(lane);
-        // more slots can only shorten this wait: even one slot is enough
+        // a single slot finishes this work in time, so the slots need no counting
         if work <= objective {
             return false;
         }
--- a/components/keeper/src/unfenced.rs
+++ b/components/keeper/src/unfenced.rs
@@ -4,8 +4,9 @@
 //! each answer reports the server's log position. The keeper therefore does not
 //! wait for a majority: the answer itself carries the mark of a commit and a
 //! sample for reads. Two rules replace fencing: a keeper acknowledges commits
-//! only while it holds its lease, and control replaces a primary only after
-//! each keeper has sealed, that is, has ended its work for the old primary.
+//! only while its entry holds its own lease, and control replaces a primary
+//! only after each keeper has sealed, that is, has ended its work for the old
+//! primary.
 
 mod stall;
 
@@ -40,7 +41,8 @@
 /// Delay before a statement that found no free slot is resent.
 const BUSY_PAUSE: Duration = Duration::from_millis(4);
 
-/// Delay before a statement that did not reach the primary is resent.
+/// Delay before a statement is resent that was refused by a server that is not
+/// the primary, or that got no session.
 const NO_PRIMARY_PAUSE: Duration = Duration::from_millis(40);
 
 /// Time for which a leaving primary still gets new work.
@@ -55,7 +57,7 @@
 pub(crate) struct Unfenced {
     /// Term that control has intended or established.
     pub(crate) term: Term,
-    /// Index of the control log that the setup was taken from.
+    /// Control log index at which the setup was taken.
     pub(crate) index: u64,
     /// Highest mark acknowledged to a caller, and the control log index known
     /// when its statement was sent.
@@ -76,7 +78,7 @@
     until: Instant,
 }
 
-/// Answer times of commits on a server.
+/// Times of the last answered and the last stalled commit on a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Commits {
     last_answered: Instant,
--- a/components/keeper/src/unfenced/stall.rs
+++ b/components/keeper/src/unfenced/stall.rs
@@ -12,8 +12,9 @@
 use crate::request::{Request, Stage};
 use crate::server::Server;
 
-/// Time without an answer after which a statement's server is considered
-/// silent.
+/// Time without an answer after which a statement on the primary or in a
+/// transaction is aborted, and after which a primary that answers nothing else
+/// is considered silent.
 const STATEMENT_STALL: Duration = Duration::from_millis(450);
 
 /// Time without an answer after which a read is aborted on its replica and
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Marks a server as silent until a new connection to it succeeds.
+    /// Marks a server as silent until it answers or a new connection to it
+    /// succeeds, and closes its idle connections.
     fn mark_silent(&mut self, key: Key<Server>, out: &mut Vec<Effect>) {
         if let Some(server) = self.servers.get_mut(key) {
             server.outage = Some(Outage::Silent);
@@ -93,8 +95,8 @@
         if request.class != Class::Read && request.may_commit() {
             return false;
         }
-        let spare = !request.run.within && !request.attempt.primary;
-        let limit = if spare {
+        let on_replica = !request.run.within && !request.attempt.primary;
+        let limit = if on_replica {
             READ_STALL.max(self.typical_run_time * SLOW_READ_FACTOR)
         } else {
             STATEMENT_STALL
--- a/components/keeper/tests/fuzz/main.rs
+++ b/components/keeper/tests/fuzz/main.rs
@@ -26,6 +26,7 @@
 /// Number of random bytes that a schedule is drawn from.
 const BYTES: usize = 6_000;
 
+/// Maximum number of steps of a schedule.
 const STEPS: usize = 900;
 
 fn schedules() -> u64 {
--- a/components/keeper/tests/fuzz/oracle.rs
+++ b/components/keeper/tests/fuzz/oracle.rs
@@ -53,10 +53,13 @@
     pub replies: Vec<Reply>,
     /// Number of times each request was sent.
     pub sent: HashMap<u64, u32>,
+    /// Acknowledged writes, each with the time of its acknowledgement.
     pub acked: Vec<(u64, Instant)>,
     /// Writes of another keeper that are not acknowledged yet.
     pub other_writes: Vec<u64>,
+    /// Writes that must not be in the final log.
     pub forbidden: BTreeSet<u64>,
+    /// Writes that may be in the final log more than once.
     pub repeatable: BTreeSet<u64>,
     /// Servers that held a write in the term in which it was written.
     pub holders: HashMap<(u64, Term), BTreeSet<usize>>,
--- a/components/keeper/tests/fuzz/server.rs
+++ b/components/keeper/tests/fuzz/server.rs
@@ -14,6 +14,7 @@
 pub struct Server {
     pub name: Name,
     pub alive: bool,
+    /// Whether the server is partitioned from the other servers.
     pub cut: bool,
     pub incarnation: u64,
     pub term: Term,
@@ -21,6 +22,7 @@
     pub following: Option<usize>,
     pub log: Vec<Entry>,
     pub applied: usize,
+    /// When the server last replicated from its primary.
     pub heard: Instant,
     version: u64,
 }
--- a/components/keeper/tests/fuzz/world.rs
+++ b/components/keeper/tests/fuzz/world.rs
@@ -188,7 +188,7 @@
                 self.probes.push(Probe::Asked { server, sent: self.now });
             }
             Effect::ReleaseLease => {
-                assert!(self.links.is_empty(), "the lease was given up with connections open");
+                assert!(self.links.is_empty(), "the lease was released with connections open");
             }
             Effect::Cancel { .. }
             | Effect::Report(_)
@@ -236,7 +236,7 @@
         let request = self.oracle.requests.values().find(|request| request.id == id);
         let request = request.expect("a known request").clone();
         assert!(!request.ended, "request {id} was sent after its end");
-        let running = self.links.values().filter(|w| w.server == server && w.runs).count();
+        let running = self.links.values().filter(|link| link.server == server && link.runs).count();
         assert!(running <= SLOTS as usize, "more statements than slots");
         if !request.within {
             assert!(self.may_start(), "request {id} was started without a lease");
@@ -509,7 +509,7 @@
         for _ in 0..300 {
             self.progress();
         }
-        assert!(self.group.is_drained(), "a planned stop left something open");
+        assert!(self.group.is_drained(), "a planned shutdown left requests or connections open");
     }
 }
 
--- a/components/keeper/tests/fuzz/world/fault.rs
+++ b/components/keeper/tests/fuzz/world/fault.rs
@@ -23,8 +23,8 @@
         waits && leads && left < 2
     }
 
-    /// Partitions one server from the other servers, and the group from one or
-    /// both of those.
+    /// Partitions one server from the other servers, and makes one or both of
+    /// the other servers unreachable for the group.
     pub(super) fn partition(&mut self, index: usize, first: bool, second: bool) {
         for (other, server) in self.servers.iter_mut().enumerate() {
             server.cut = other == index;
@@ -43,8 +43,8 @@
             return;
         };
         let others = [(old + 1) % SERVERS, (old + 2) % SERVERS];
-        let heir = others.into_iter().max_by_key(|index| self.servers[*index].last());
-        let second = heir == Some(others[1]);
+        let candidate = others.into_iter().max_by_key(|index| self.servers[*index].last());
+        let second = candidate == Some(others[1]);
         self.partition(old, both || !second, both || second);
         self.term = Term(self.term.0 + 1);
         self.failover = Some(Failover { term: self.term, fenced: Vec::new(), primary: None });
@@ -90,6 +90,7 @@
         Ok(())
     }
 
+    /// Breaks a connection. The first `kept` events in transit still arrive.
     pub(super) fn break_conn(&mut self, conn: Key<Connection>, kept: usize) {
         let Some(link) = self.links.get_mut(&conn) else {
             return;
@@ -202,7 +203,7 @@
         self.servers[index].alive = false;
         self.detached.retain(|(_, detached)| detached.server != index);
         let conns: Vec<_> =
-            self.links.values().filter(|w| w.server == index).map(|w| w.conn).collect();
+            self.links.values().filter(|link| link.server == index).map(|link| link.conn).collect();
         for conn in conns {
             self.break_conn(conn, 1);
         }
--- a/components/keeper/tests/group.rs
+++ b/components/keeper/tests/group.rs
@@ -177,7 +177,7 @@
     Run { class: Class::Read as i32, fresh: true, ..Run::default() }
 }
 
-fn bounded_read() -> Run {
+fn session_read() -> Run {
     Run { class: Class::Read as i32, ..Run::default() }
 }
 
@@ -351,7 +351,7 @@
 #[test]
 fn a_read_waits_its_patience_for_a_replica_that_lags() {
     let mut bench = Bench::ready(3);
-    bench.ask(Run { floor: Some(Mark::new(1, 12).into()), patience_ms: 20, ..bounded_read() });
+    bench.ask(Run { floor: Some(Mark::new(1, 12).into()), patience_ms: 20, ..session_read() });
     bench.pass(10);
     assert!(bench.sent().is_empty());
     bench.pass(10);
--- a/components/keeper/tests/unfenced/overload.rs
+++ b/components/keeper/tests/unfenced/overload.rs
@@ -95,7 +95,8 @@
 
 #[test]
 fn under_overload_admitted_requests_are_answered_in_time_and_the_rest_refused_at_once() {
-    // five slots for reads of 40 ms each serve 125 of the 200 reads that arrive per second
+    // six slots, each taken for 50 ms by a read of 40 ms and a step of the clock, serve 120 of
+    // the 200 reads that arrive per second
     let ends = overload(40, 5, 400);
     assert_eq!(ends.len(), 400);
     let mut refused = 0;
