--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -2,8 +2,9 @@
 //!
 //! The entry dials a randomly chosen control member, follows the control log
 //! there, and sends heartbeats. When the member confirms no heartbeat, the entry
-//! moves to another member. Before each dial the entry waits for a random time,
-//! so that entries that lost the same member don't reconnect all at once.
+//! moves to another member. Before each dial but the first, the entry waits for a
+//! random time, so that entries that lost the same member don't reconnect all at
+//! once.
 
 pub mod controls;
 pub mod progress;
@@ -26,7 +27,8 @@
 pub use controls::Controls;
 use progress::{CONFIRM_TIMEOUT, Fault, Progress};
 
-/// Limit on the random wait before the first dial after a link has failed.
+/// Limit on the random wait before the first dial after a failure. The limit doubles,
+/// up to [`MAX_BACKOFF`], after each further link without a confirmed heartbeat.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Limit on the random wait before any dial.
@@ -178,7 +180,7 @@
     let request = Follow { join: Some(settings.join.clone()), applied };
     send(&mut writer, up::Body::Follow(request)).await?;
     send_seals(&view, &mut writer).await?;
-    let mut beats = ticks(HEARTBEAT_INTERVAL);
+    let mut heartbeats = ticks(HEARTBEAT_INTERVAL);
     let mut checks = ticks(CHECK_INTERVAL);
     loop {
         tokio::select! {
@@ -193,7 +195,7 @@
                     send_beat(settings, progress, given_up, &mut writer).await?;
                 }
             }
-            _ = beats.tick() => send_beat(settings, progress, given_up, &mut writer).await?,
+            _ = heartbeats.tick() => send_beat(settings, progress, given_up, &mut writer).await?,
             () = view.wait_for_given_up() =>
                 send_beat(settings, progress, given_up, &mut writer).await?,
             () = view.wait_for_seal() => send_seals(&view, &mut writer).await?,
--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -61,13 +61,13 @@
         match self {
             Self::Link => f.write_str("the link to control failed"),
             Self::Closed => f.write_str("the control member closed the link"),
-            Self::Refused => f.write_str("the control member cannot serve"),
-            Self::Silent => f.write_str("the control member confirms no beat"),
-            Self::Absent => f.write_str("the control log does not know this entry"),
+            Self::Refused => f.write_str("the control member cannot serve entries at present"),
+            Self::Silent => f.write_str("the control member did not confirm a heartbeat in time"),
+            Self::Absent => f.write_str("the control state does not contain this entry"),
             Self::Gap { due, found } => {
-                write!(f, "index {due} of the log is missing before {found}")
+                write!(f, "expected index {due} of the control log, received {found}")
             }
-            Self::Image => f.write_str("the image of the state can't be read"),
+            Self::Image => f.write_str("the image of the control state is invalid"),
         }
     }
 }
--- a/components/entry/src/front/admit.rs
+++ b/components/entry/src/front/admit.rs
@@ -46,9 +46,9 @@
 
 /// Admits a request that consists of `texts`.
 ///
-/// A request runs under [`Rule::UNDECLARED`] if its texts have different rules,
-/// if a text begins or ends a transaction, or if a text holds several statements
-/// and no tag.
+/// A request runs under [`Rule::UNDECLARED`] if its texts have different rules, if a
+/// statement affects its transaction (such as BEGIN, COMMIT, ROLLBACK TO or CALL) or
+/// is allowed only within one, or if a text holds several statements and no tag.
 ///
 /// # Errors
 /// As [`check_access`].
--- a/components/entry/src/front/dispatch.rs
+++ b/components/entry/src/front/dispatch.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Waits for the next event of a request. Returns `None` at `limit`, or earlier if
-    /// the keeper does not respond and another one may run the request.
+    /// Waits for the next event of a request. Returns `None` after `limit`, or earlier
+    /// if the keeper does not respond and the request may be retried at another keeper.
     async fn next_event(
         &mut self,
         link: &Link,
--- a/components/entry/src/front/link.rs
+++ b/components/entry/src/front/link.rs
@@ -72,7 +72,7 @@
     sent: bool,
 }
 
-/// Requests of a link, and its state as far as it decides on new ones.
+/// Open requests of a link, and the flags that decide whether it accepts new ones.
 #[derive(Debug, Default)]
 struct Table {
     /// Requests whose answers have not ended, by number.
--- a/components/entry/src/front/mod.rs
+++ b/components/entry/src/front/mod.rs
@@ -302,7 +302,7 @@
         // a request that arrived before the phase change was noticed is still run
         return match tokio::time::timeout(Duration::ZERO, input).await {
             Ok(filled) => filled.map(|()| true),
-            Err(_nothing) => Ok(false),
+            Err(_elapsed) => Ok(false),
         };
     }
     tokio::select! {
--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -47,7 +47,8 @@
     database: Name,
     /// Number of the session at keepers.
     number: u64,
-    /// Position of the newest write of the session; its reads must show it.
+    /// Mark of the newest write of the session; reads of the session must not show
+    /// older data.
     floor: Option<Mark>,
     values: BTreeMap<Bytes, Bytes>,
     prepared: BTreeMap<Bytes, (Access, Bytes)>,
@@ -81,7 +82,7 @@
     }
 
     /// Serves the caller until it disconnects, or the front stops or loses its lease.
-    /// Returns the connection, which the caller of this method is to close.
+    /// Returns the connection, which is still to be closed.
     pub(super) async fn serve(mut self) -> Conn {
         if let Err(report) = self.serve_messages().await {
             let reason = report.current_context();
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -38,8 +38,8 @@
     pub incarnation: u64,
     /// Whether the host starts an entry only after the earlier one has ended.
     pub sole: bool,
-    /// Capacity of the host relative to the hosts of other entries; groups are kept
-    /// by the entries with the greatest weights.
+    /// Capacity of the host relative to the hosts of other entries. Only entries with
+    /// at least half of the greatest weight keep groups, unless these are too few.
     pub weight: u32,
     /// Listen address for callers; port 0 takes a free port.
     pub callers: SocketAddr,
--- a/components/entry/src/keep/answer.rs
+++ b/components/entry/src/keep/answer.rs
@@ -2,7 +2,7 @@
 //!
 //! Only the type byte and the length of a message are read, with three
 //! exceptions: the tag of a completed command, the status of ReadyForQuery, and the
-//! one row of a mark.
+//! row that contains the mark of the server, a term and a position.
 
 use base::prelude::*;
 use bytes::{Buf, BytesMut};
@@ -31,7 +31,7 @@
 
 impl std::error::Error for Failure {}
 
-/// One message of a backend server.
+/// A message of a backend server.
 #[derive(Debug)]
 pub(super) struct Message {
     /// Type byte.
--- a/components/entry/src/keep/conn.rs
+++ b/components/entry/src/keep/conn.rs
@@ -1,4 +1,4 @@
-//! One PostgreSQL connection to a backend server.
+//! A PostgreSQL connection to a backend server.
 //!
 //! The connection's task opens the socket, writes what the group sends, and
 //! turns the server's answers into events. The last event of a connection is
@@ -41,8 +41,14 @@
 /// Command from a group to a connection.
 #[derive(Debug)]
 pub(super) enum Command {
-    Send { bytes: Bytes, wait: Option<Mark> },
+    /// Sends the messages of a cycle. A server of an unfenced group runs them only
+    /// once it has reached the mark `wait`.
+    Send {
+        bytes: Bytes,
+        wait: Option<Mark>,
+    },
     RollBack,
+    /// Asks the server for its mark.
     Mark,
     Cancel,
     Close,
@@ -113,7 +119,8 @@
         let guard = CloseGuard { shard, conn };
         let result = run(&guard.shard, conn, address, command_queue, pause_changes).await;
         if let Err(report) = result {
-            slog::debug!(guard.shard.log(), "connection ended"; "error" => format!("{report:?}"));
+            slog::debug!(guard.shard.log(), "connection to a backend server failed";
+                "error" => format!("{report:?}"));
         }
     });
     Control { commands, paused, task: task.abort_handle() }
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -38,7 +38,7 @@
     closing: AtomicBool,
 }
 
-/// One link from a front.
+/// A link from a front.
 #[derive(Debug)]
 pub(super) struct Link {
     answers: mpsc::Sender<Answer>,
--- a/components/entry/src/keep/plain.rs
+++ b/components/entry/src/keep/plain.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend server that takes plain statements.
+//! A connection to a backend server that takes plain statements.
 //!
 //! Before a statement runs, the session on the connection is brought into the
 //! state that the request needs: values that differ are set, a statement that is
@@ -67,8 +67,8 @@
         let guard = CloseGuard { shard, conn };
         let result = run(&guard.shard, conn, server.clone(), address, dialect, command_queue).await;
         if let Err(report) = result {
-            slog::debug!(guard.shard.log(), "connection ended"; "server" => %server,
-                "error" => %report);
+            slog::debug!(guard.shard.log(), "connection to a backend server failed";
+                "server" => %server, "error" => %report);
         }
     });
     Control { commands, paused, task: task.abort_handle() }
@@ -110,13 +110,13 @@
     let mark = match ready.change_context(Failure::Timeout).and_then(|ready| ready) {
         Ok(mark) => mark,
         Err(report) => {
-            let trouble = match report.current_context() {
+            let outage = match report.current_context() {
                 Failure::Timeout => Some(Outage::Silent),
                 Failure::Refused => None,
                 Failure::Io | Failure::Disorder => Some(Outage::Refused),
             };
-            if let Some(trouble) = trouble {
-                shard.feed(Event::Unreachable { server, outage: trouble });
+            if let Some(outage) = outage {
+                shard.feed(Event::Unreachable { server, outage });
             }
             return Err(report);
         }
--- a/components/entry/src/keep/probe.rs
+++ b/components/entry/src/keep/probe.rs
@@ -91,8 +91,8 @@
             }
             Err(report) => {
                 *probe = None;
-                if let Some(trouble) = trouble(*report.current_context()) {
-                    shard.feed(Event::Unreachable { server: self.server.clone(), outage: trouble });
+                if let Some(outage) = outage(*report.current_context()) {
+                    shard.feed(Event::Unreachable { server: self.server.clone(), outage });
                 }
                 Attempt::Failed
             }
@@ -115,7 +115,7 @@
     }
 }
 
-fn trouble(failure: Failure) -> Option<Outage> {
+fn outage(failure: Failure) -> Option<Outage> {
     match failure {
         Failure::Refused => Some(Outage::Refused),
         Failure::Timeout => Some(Outage::Silent),
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -1,4 +1,4 @@
-//! One group behind its lock.
+//! The state machine of a group behind its lock, and the tasks of the group.
 //!
 //! Effects are executed after the lock is released, in the order in which the
 //! group emitted them, whichever task executes them.
@@ -22,7 +22,7 @@
 /// Shortest time between two ticks.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// One group with its connections, probers and timer.
+/// A group with its connections, probers and timer.
 #[derive(Debug)]
 pub(super) struct Shard {
     name: Name,
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -33,7 +33,8 @@
     returned: Mutex<Vec<Name>>,
     /// Notified when a group is given up.
     given_up: Notify,
-    /// The newest seal of each group.
+    /// Newest seal of each group: the report to control that the keeper has ended its
+    /// work for the earlier primaries of the group.
     seals: Mutex<BTreeMap<String, Seal>>,
     /// Notified when a group is sealed.
     sealed: Notify,
--- a/components/entry/tests/entry.rs
+++ b/components/entry/tests/entry.rs
@@ -193,13 +193,14 @@
         written += writer.await.unwrap();
     }
     assert!(written > 0);
-    // this statement is not of the declared kind that may be served with an age
+    // only statements of the declared kind may show old data; this statement is of no
+    // declared kind
     let rows = first.query("SELECT * FROM seats", &[]).await.unwrap();
     assert_eq!(rows.len(), written);
     bench.stop().await;
 }
 
-/// Rows of a writer by the result that it got for each.
+/// Seats that a writer tried to insert, by the result of each insert.
 #[derive(Default)]
 struct Results {
     done: Vec<String>,
--- a/components/entry/tests/fake/mod.rs
+++ b/components/entry/tests/fake/mod.rs
@@ -243,8 +243,8 @@
     for service in ["web", "desk"] {
         let limits = Limits { deadline_ms: 3_000, ..Limits::default() };
         let (labels, objectives) = (config::Labels::new(), Vec::new());
-        let service_ = Service { labels, weight: 1, limits, objectives };
-        declarations.services.insert(name(service), service_);
+        let declared = Service { labels, weight: 1, limits, objectives };
+        declarations.services.insert(name(service), declared);
     }
     let mut kinds = std::collections::BTreeMap::new();
     kinds.insert(name("seat-map"), kind(Class::Read, &["select seat"]));
--- a/components/entry/tests/follow.rs
+++ b/components/entry/tests/follow.rs
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn joins_again_only_when_the_log_it_has_caught_up_with_lacks_it() {
+fn joins_again_only_when_the_caught_up_state_lacks_the_entry() {
     let (view, _symptoms) = View::new();
     let mut progress = Progress::new(Instant::ZERO, join());
     let later = |millis| Instant::from_millis(millis);
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -148,8 +148,8 @@
     let first = fake::keeper("one", std::sync::Arc::clone(&shared[0])).await;
     let second = fake::keeper("two", std::sync::Arc::clone(&shared[1])).await;
     let keepers = [("one", first), ("two", second)];
-    let (lease, any) = (Duration::from_mins(10), std::sync::Arc::default());
-    let bench = fake::bench_with(None, lease, any, &keepers).await;
+    let (lease, unused) = (Duration::from_mins(10), std::sync::Arc::default());
+    let bench = fake::bench_with(None, lease, unused, &keepers).await;
     let (client, open) = (bench.connect().await, bench.connect().await);
     rows(&client, "update t").await.unwrap();
     let stopping = usize::from(shared[0].runs().is_empty());
@@ -436,7 +436,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_no_caller() {
+async fn a_planned_stop_disconnects_no_active_caller() {
     let bench = bench(None).await;
     let (idle, busy, open) = (bench.connect().await, bench.connect().await, bench.connect().await);
     rows(&idle, "select 1").await.unwrap();
@@ -452,9 +452,9 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         bench.front.close(Duration::from_secs(10)).await
     };
-    let (answer, (), cut) = tokio::join!(running, ending, close);
+    let (answer, (), disconnected) = tokio::join!(running, ending, close);
     answer.unwrap();
-    assert_eq!(cut, 0);
+    assert_eq!(disconnected, 0);
     assert!(idle.is_closed() && open.is_closed());
     assert!(connect(&bench.config()).await.is_err());
 }
@@ -474,12 +474,12 @@
     let (idle, open) = (bench.connect().await, bench.connect().await);
     rows(&idle, "select 1").await.unwrap();
     open.simple_query("BEGIN").await.unwrap();
-    let gone = async {
+    let idle_closed = async {
         while !idle.is_closed() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), gone)
+    tokio::time::timeout(Duration::from_secs(20), idle_closed)
         .await
         .expect("the idle caller is disconnected");
     assert_eq!(code(connect(&bench.config()).await), "57P03");
