--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -256,7 +256,7 @@
             }
             Event::Announced(announce) => self.renewals.record_announce(now, state, announce, out),
             Event::Beat { entry, incarnation, applied, returned } => {
-                self.liveness.beat(now, entry.clone(), incarnation, applied);
+                self.liveness.record_heartbeat(now, entry.clone(), incarnation, applied);
                 self.planner.record_returned(state, (&entry, incarnation), applied, &returned);
                 if !returned.is_empty() {
                     self.planner.tick(now, state, &self.liveness, out);
--- a/components/control/src/liveness.rs
+++ b/components/control/src/liveness.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records a heartbeat.
-    pub fn beat(&mut self, now: Instant, entry: Name, incarnation: u64, applied: u64) {
+    pub fn record_heartbeat(&mut self, now: Instant, entry: Name, incarnation: u64, applied: u64) {
         let record = self.record(now, entry, incarnation);
         // a heartbeat after the removal renews a lease only once the entry has
         // applied the removal
