--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -35,10 +35,11 @@
     Index,
     /// A field of the command, such as a name or an address, is malformed.
     Malformed,
-    /// A later incarnation is known; to expire a server, any other incarnation.
+    /// A later incarnation is known, or the server to expire has another incarnation
+    /// than the command names.
     Incarnation,
     /// The same incarnation is known with other data, such as another address, or
-    /// a later server has taken the address.
+    /// another server of the same or a later incarnation has the address.
     Address,
     /// All seats of the group are taken.
     Seats,
@@ -46,11 +47,11 @@
     Group,
     /// The group, server or entry is unknown.
     Unknown,
-    /// The leases have changed since the proposal.
+    /// The generation of the group's leases has changed since the command was proposed.
     Generation,
     /// The shares of a server would exceed its limit.
     Limit,
-    /// A later term is intended or established, or the failover of this term is in
+    /// The term is too low, no failover has intended it, or its failover is in
     /// another phase.
     Term,
 }
@@ -132,7 +133,8 @@
         patch.apply(&self.declarations)
     }
 
-    /// Adds each declared group and fills its seats.
+    /// Adds each declared group, drops its seats beyond the declared number of
+    /// servers, and gives free seats to servers that announced themselves.
     fn seat(&mut self) {
         let mut wanting: BTreeMap<&Name, SmallVec<[&Name; 3]>> = BTreeMap::new();
         for (server, known) in self.servers.iter().filter(|(_, known)| !known.expired) {
@@ -172,8 +174,8 @@
         let taken = |(other, known): (&Name, &Server)| {
             (other != name && known.address == server.address).then(|| other.clone())
         };
-        let gone: Vec<_> = self.servers.iter().filter_map(taken).collect();
-        for other in gone {
+        let evicted: Vec<_> = self.servers.iter().filter_map(taken).collect();
+        for other in evicted {
             self.servers.remove(&other);
             self.unseat(&other);
         }
@@ -344,7 +346,7 @@
     }
 
     /// Refuses shares that exceed a server's limit, unless no share of that server
-    /// grows: after the server lowered its limit, shares shrink step by step.
+    /// grows: after the server lowered its limit, earlier shares may exceed it.
     fn check_limits(&self, group: &Group, assign: &log::Assign) -> Result<(), Refusal> {
         let shares = || assign.leases.iter().flat_map(|lease| &lease.shares);
         for share in shares() {
--- a/components/control/src/changes.rs
+++ b/components/control/src/changes.rs
@@ -27,7 +27,7 @@
         /// Version of the declarations when the change was applied.
         version: u64,
     },
-    /// The content does not parse as declarations.
+    /// The content or the patch does not give valid declarations.
     Invalid(Vec<Fault>),
 }
 
--- a/components/control/src/context.rs
+++ b/components/control/src/context.rs
@@ -6,7 +6,7 @@
 use crate::liveness::Liveness;
 use crate::state::{Group, State};
 
-/// Facts that a leader needs from before its election.
+/// Facts that a leader is given at its election.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
     /// Term of the quorum in which the member leads, used as the fencing token of
@@ -30,9 +30,9 @@
     pub group: &'a Group,
     /// Which entries are alive, and whose leases may still be in force.
     pub liveness: &'a Liveness,
-    /// Facts from before the leader's election.
+    /// Facts that the leader was given at its election.
     pub leadership: Leadership,
-    /// Rule to break, in tests.
+    /// Safety rule that the leader breaks; for tests only.
     pub flaw: Flaw,
 }
 
--- a/components/control/src/designation.rs
+++ b/components/control/src/designation.rs
@@ -9,7 +9,8 @@
 //!    primary and seal: they report the highest mark that they have acknowledged.
 //! 2. Once each lease on the group is sealed or over, the leader asks the servers
 //!    for their positions. `Choose` names the server with the highest position, if
-//!    that server certainly holds all acknowledged records; else the leader waits.
+//!    that server certainly holds all acknowledged records. Else the leader waits,
+//!    also for the old primary to come back.
 //! 3. The chosen server is designated, repeatedly until it leads.
 //! 4. `Establish`: keepers begin to work for the new primary.
 //!
@@ -28,14 +29,14 @@
 use crate::state::{Group, Phase};
 use crate::trace::Trace;
 
-/// Time for which a choice waits for the positions of all servers.
+/// Time for which a choice waits for the positions of all servers but the old primary.
 const POSITIONS_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time between two designations of a server.
 const DESIGNATE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for a designated server that can't be reached to become primary before
-/// another one is chosen.
+/// Time for which a chosen server that can't be reached, or that rejects its
+/// designations, may still become the primary before another one is chosen.
 const DESIGNATE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time between two status probes of a server during the first
@@ -50,16 +51,19 @@
 /// [`FAST_PROBE_INTERVAL`].
 const FAST_PROBE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time for which a new group may report a primary by itself before a change begins.
+/// Time for which the leader waits for a server of a new group to report itself as
+/// the primary before a change begins.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Refused connections in a row that suffice without a keeper's symptom. Also the
-/// number of rejected designations in a row after which another server is chosen.
+/// number of rejected designations in a row that count as a failure of the chosen
+/// server.
 const SUFFICIENT_REFUSALS: u32 = 2;
 
-/// Time for which all keepers must report a primary as unhealthy that the leader
-/// can reach. Also the time for which a choice waits before it takes an old
-/// primary that came back.
+/// Time for which all keepers must report a primary as unhealthy, or any keeper
+/// must report it as cut off from its replicas, before the leader replaces a
+/// primary that it can reach. Also the time for which a choice waits before it
+/// takes an old primary that came back.
 const CONFIRMATION_TIME: Duration = Duration::from_millis(600);
 
 /// Time without an answer to the leader after which a primary that all keepers
@@ -89,16 +93,22 @@
     /// When the last status probe was sent, by server.
     probed: BTreeMap<Name, Instant>,
     positions: BTreeMap<Name, Position>,
+    /// When the last command was proposed, if no command was applied since.
     proposed: Option<Instant>,
     /// Intended term, and since when no keeper works for the old primary.
     sealed_since: Option<(Term, Instant)>,
+    /// When the last designation was sent to the chosen server.
     designated: Option<Instant>,
     /// Term of the chosen server, and since when the leader waits for it to lead.
     chosen: Option<(Term, Instant)>,
     bootstrap_since: Option<Instant>,
+    /// Newest established term, and when the leader first saw it established.
     established: Option<(Term, Instant)>,
+    /// Since when the primary is reported as unhealthy by all keepers, or as cut
+    /// off by any.
     unhealthy_since: Option<Instant>,
-    refused: u32,
+    /// Rejected designations in a row.
+    rejections: u32,
     trace: Option<Trace>,
 }
 
@@ -146,7 +156,8 @@
     ) {
         self.watches.get_or_insert(server).record_result(now, ask, result);
         if ask != Ask::Status {
-            self.refused = if result == Err(ProbeError::Rejected) { self.refused + 1 } else { 0 };
+            self.rejections =
+                if result == Err(ProbeError::Rejected) { self.rejections + 1 } else { 0 };
             return;
         }
         let sent = self.asked.remove(server);
@@ -228,11 +239,12 @@
         if refusals >= SUFFICIENT_REFUSALS || (refusals > 0 && unhealthy) {
             return Some(Cause::Refused);
         }
-        // all keepers and the leader's own short timeout agree
+        // the leader's own short timeout confirms the symptoms of all keepers
         if unhealthy_to_all && watch.waiting_time(now) >= SHORT_SILENCE_TIMEOUT {
             return Some(Cause::Silent);
         }
-        // if no keeper reports trouble, only the leader is partitioned from the primary
+        // if the group has keepers and none reports a symptom, only the leader is
+        // partitioned from the primary
         if watch.is_silent(now) && (unhealthy || group.leases.is_empty()) {
             return Some(Cause::Silent);
         }
@@ -373,6 +385,8 @@
         }
         let seals = || self.seals.iter().filter(|(holder, _)| holds(group, holder));
         let needed = seals().filter_map(|(_, seal)| seal.mark.map(Mark::from)).max();
+        // the holder of an ended lease may not have sealed, but a mark acknowledged
+        // after the last lease had ended covers all that this holder acknowledged
         let current = |seal: &Seal| seal.mark.is_some() && seal.index >= group.ended_index;
         let precise = group.ended_index == 0 || seals().any(|(_, seal)| current(seal));
         let stays = |seat: &Name| context.state.servers.get(seat).is_some_and(|s| !s.leaving);
@@ -399,7 +413,7 @@
             Some((known, since)) if known == term => since,
             _ => {
                 self.designated = None;
-                self.refused = 0;
+                self.rejections = 0;
                 now
             }
         };
@@ -414,10 +428,10 @@
             }
             return self.establish(context, term, server, out);
         }
-        let gone = !context.state.servers.contains_key(server)
-            || self.refused >= SUFFICIENT_REFUSALS
+        let failed = !context.state.servers.contains_key(server)
+            || self.rejections >= SUFFICIENT_REFUSALS
             || self.watches.get(server).is_some_and(|watch| watch.is_down(now));
-        if gone && now.since(since) >= DESIGNATE_TIMEOUT {
+        if failed && now.since(since) >= DESIGNATE_TIMEOUT {
             return self.intend(context, Cause::Unfinished, out);
         }
         // the designations of an earlier leader must have timed out before the first
--- a/components/control/src/detector.rs
+++ b/components/control/src/detector.rs
@@ -27,7 +27,8 @@
 pub enum Cause {
     /// The group has no primary yet.
     New,
-    /// The primary refuses connections: its process has ended.
+    /// The primary refuses connections, as its process has ended, or is no longer
+    /// known to the control state.
     Refused,
     /// The primary does not answer.
     Silent,
@@ -165,8 +166,8 @@
     replicas > 0 && lost > replicas / 2
 }
 
-/// Whether a majority of the servers, without those that are leaving, has the
-/// log of the current term.
+/// Whether the servers that are not leaving and have the log of the current term
+/// are a majority of the group.
 fn can_hand_over(now: Instant, state: &State, group: &Group, watches: &Watches) -> bool {
     let stays = |name: &Name| state.servers.get(name).is_some_and(|server| !server.leaving);
     let ready = watches
--- a/components/control/src/failover.rs
+++ b/components/control/src/failover.rs
@@ -15,8 +15,8 @@
 //! 5. `Establish` once a majority reports T as its term and log term.
 //!
 //! Any failure after the first step restarts the failover there at a higher term,
-//! and so does a leader that finds an unfinished failover. A group that elects
-//! its own primary is only adopted.
+//! and so does a leader that finds an unfinished failover. If a group elects its
+//! own primary, the leader only adopts that primary.
 //!
 //! [`choice`]: crate::choice
 
@@ -103,11 +103,15 @@
     watches: Watches,
     symptoms: Symptoms,
     stage: Stage,
+    /// When the last order was sent to each server.
     ordered: BTreeMap<Name, Instant>,
+    /// When a command that establishes a primary was proposed last.
     establishing: Option<Instant>,
     /// Until when the replicas' silence is ignored.
     silence_ignored_until: Instant,
+    /// Since when a majority of a new group is reachable.
     bootstrap_since: Option<Instant>,
+    /// When the last planned switchover began.
     switchover_at: Option<Instant>,
     /// Server that failed last and is not chosen again if possible.
     avoided: Option<Name>,
@@ -245,7 +249,7 @@
                     self.begin(context, cause, out);
                 } else {
                     self.trace.take_if(|trace| trace.established.is_none());
-                    self.order_strays(context, group.term, primary, FOLLOW_INTERVAL, out);
+                    self.order_to_follow(context, group.term, primary, FOLLOW_INTERVAL, out);
                 }
             }
             (Phase::Settled, None) => self.bootstrap(context, out),
@@ -280,7 +284,7 @@
     }
 
     /// Proposes to establish the primary that a majority already follows, if the
-    /// log does not have it yet.
+    /// log does not have that primary yet. Returns whether this is the case.
     fn adopt(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) -> bool {
         let group = context.group;
         let Some((term, server)) = self.watches.majority_primary(context.now, context.majority())
@@ -336,7 +340,7 @@
         let overdue = now.since(since) >= BOOTSTRAP_TIMEOUT;
         match primary {
             Some(primary) if !overdue => {
-                self.order_strays(context, highest, &primary, ORDER_INTERVAL, out);
+                self.order_to_follow(context, highest, &primary, ORDER_INTERVAL, out);
             }
             None if !overdue && reports < context.group.seats.len() => {}
             Some(_) | None => self.begin(context, Cause::New, out),
--- a/components/control/src/failover/orders.rs
+++ b/components/control/src/failover/orders.rs
@@ -1,4 +1,4 @@
-//! Status probes of and orders to the servers of a group.
+//! Sends status probes and orders to the servers of a group.
 
 use base::prelude::*;
 
@@ -62,7 +62,7 @@
     }
 
     /// Orders the servers that do not follow the primary to do so.
-    pub(super) fn order_strays(
+    pub(super) fn order_to_follow(
         &mut self,
         context: &Context<'_>,
         term: Term,
@@ -76,21 +76,21 @@
         if self.watches.get(primary).is_none_or(|watch| watch.fresh(context.now).is_none()) {
             return;
         }
-        let is_stray = |status: &Status| {
+        let must_follow = |status: &Status| {
             status.term < term
                 || (status.term == term
                     && (status.log_term < term || status.silence > REFOLLOW_SILENCE))
         };
-        let strays: Vec<Name> = self
+        let seats: Vec<Name> = self
             .watches
             .fresh(context.now)
-            .filter(|(name, status)| *name != primary && is_stray(status))
+            .filter(|(name, status)| *name != primary && must_follow(status))
             .map(|(name, _)| name.clone())
             .collect();
-        for stray in strays {
+        for seat in seats {
             self.order(
                 context,
-                &stray,
+                &seat,
                 Ask::Follow { term, primary: server.address },
                 interval,
                 out,
--- a/components/control/src/image.rs
+++ b/components/control/src/image.rs
@@ -1,5 +1,5 @@
-//! Encodes the whole state, for a member's snapshot and for an entry that has
-//! fallen too far behind the log.
+//! Encodes and decodes the whole state, for a member's snapshot and for an entry
+//! that has fallen too far behind the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -281,7 +281,7 @@
         }
         Answer::Invalid(faults) => {
             image.set_kind(Kind::Invalid);
-            image.faults = serde_json::to_string(faults).expect("faults are plain values");
+            image.faults = serde_json::to_string(faults).expect("faults can be written as JSON");
         }
     }
     image
--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -1,9 +1,9 @@
 //! Decisions of the leading member.
 //!
-//! A leader is volatile: each election creates a new one, and it learns all that
-//! is not in the state again from heartbeats, announcements and probes. Its host
-//! passes it events, proposes the commands that it requests, and executes its
-//! probes.
+//! A leader stores nothing: each election creates a new one, which learns all that
+//! the replicated state does not contain anew from heartbeats, announcements and
+//! probes. The host of a leader passes events to it, proposes the commands that it
+//! requests, and executes its probes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -86,8 +86,8 @@
     },
     /// A backend server announced itself, for the first time or as a renewal.
     Announced(Announce),
-    /// An entry sent a heartbeat to renew its leases. The event must be passed
-    /// before the heartbeat is confirmed.
+    /// An entry sent a heartbeat to renew its leases. The host must pass this event
+    /// to the leader before it confirms the heartbeat.
     Beat {
         /// Name of the entry.
         entry: Name,
@@ -114,7 +114,8 @@
         /// Health of the primary as the keeper sees it.
         symptom: Symptom,
     },
-    /// A keeper has ended its work for an earlier primary and sealed it.
+    /// A keeper has ended its work for an earlier primary, whose answers it no longer
+    /// passes on.
     Sealed {
         /// Entry of the keeper.
         entry: Name,
@@ -142,8 +143,8 @@
     /// Append a command to the log.
     Propose(Command),
     /// Send a request to a backend server; the host reports the result with
-    /// [`Event::Probed`]. An order must not wait behind a status request to the
-    /// same server.
+    /// [`Event::Probed`]. An order, which is any request but [`Ask::Status`], must
+    /// not wait behind a status request to the same server.
     Probe {
         /// Group of the server.
         group: Name,
@@ -174,6 +175,7 @@
 pub struct Leader {
     started: Instant,
     ticked: Instant,
+    /// Index of the state at the last check of all announcements, and its time.
     renewals_checked: Option<(u64, Instant)>,
     liveness: Liveness,
     renewals: Renewals,
@@ -191,7 +193,7 @@
         Self::with_flaw(now, Flaw::None)
     }
 
-    /// Creates the leader of a new term with facts from before its election.
+    /// Creates the leader of a new term with the facts that it is given at its election.
     pub fn with_leadership(now: Instant, leadership: Leadership) -> Self {
         Self { leadership, ..Self::new(now) }
     }
@@ -224,7 +226,8 @@
         self.liveness.applied(entry, incarnation)
     }
 
-    /// Newest status report of a server, if it is no older than a healthy group's may be.
+    /// Newest status report of a server, if no probe of the server has failed since
+    /// and the report is no older than the probe interval of a healthy group allows.
     pub fn status(&self, now: Instant, group: &str, server: &Name) -> Option<&Status> {
         let failover = self.failovers.get(group).map(Failover::watches);
         let designation = self.designations.get(group).map(Designation::watches);
@@ -279,7 +282,7 @@
                 self.step(now, state, &group, out);
             }
             Event::Probed { group, server, ask, result } => {
-                let result = result.as_ref().map_err(|&unreached| unreached);
+                let result = result.as_ref().map_err(|&error| error);
                 if state.acknowledges(group.as_str()) {
                     self.designation(&group).record_result(now, &server, ask, result);
                 } else {
--- a/components/control/src/liveness.rs
+++ b/components/control/src/liveness.rs
@@ -27,12 +27,15 @@
 struct Record {
     /// When the last heartbeat arrived that may still renew a lease.
     heard: Instant,
+    /// Last index that the incarnation is known to have applied.
     applied: u64,
+    /// Whether the incarnation has stopped and holds no lease any more.
     left: bool,
     /// Whether the state has ever contained this incarnation.
     known: bool,
     /// Index of the state at which the incarnation was found to be removed.
     removed: Option<u64>,
+    /// When the removal was proposed last.
     proposed: Option<Instant>,
 }
 
@@ -101,11 +104,15 @@
 
     /// Whether the free shares of a group can be granted, since no entry can still
     /// believe that it holds them: each holder has applied the last reduction of
-    /// its lease, and the leases of removed entries `are_over`.
-    pub fn can_grant(&self, group: &Group, are_over: bool) -> bool {
-        group.generation == 0 || (are_over && self.holders_are_aware(group))
+    /// its lease, and the leases of removed entries are over, as
+    /// [`Liveness::removed_leases_expired`] returned. A group at generation 0 never
+    /// had a lease.
+    pub fn can_grant(&self, group: &Group, removed_expired: bool) -> bool {
+        group.generation == 0 || (removed_expired && self.holders_are_aware(group))
     }
 
+    /// Whether a removed incarnation that may not know of its removal may still hold
+    /// a lease.
     fn has_running_removed(&self, now: Instant) -> bool {
         self.incarnations.values().any(|record| record.is_unaware() && !record.is_expired(now))
     }
@@ -146,8 +153,8 @@
             }
         }
         self.drop_departed(now, state, out);
-        let gone = self.incarnations.iter_mut().filter(|(key, _)| !known.contains(key));
-        for ((entry, incarnation), record) in gone.filter(|(_, record)| record.known) {
+        let removed = self.incarnations.iter_mut().filter(|(key, _)| !known.contains(key));
+        for ((entry, incarnation), record) in removed.filter(|(_, record)| record.known) {
             record.left |= state.has_ended(entry.as_str(), *incarnation);
             record.removed.get_or_insert(state.index);
         }
--- a/components/control/src/overview.rs
+++ b/components/control/src/overview.rs
@@ -1,7 +1,8 @@
 //! Status report for operators: the body of `GET /v1/status`.
 //!
 //! The host adds the data of the quorum. Data that only the leader has (lag,
-//! applied indexes, failovers) is missing in the report of other members.
+//! applied indexes, causes and durations of failovers) is missing in the report of
+//! other members.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -146,7 +147,8 @@
     pub cause: Option<String>,
     /// Time since the cause was detected, in milliseconds.
     pub noticed_ms_ago: Option<u64>,
-    /// Time from detection until a majority was fenced, in milliseconds.
+    /// Time from detection until a majority was fenced or, in an unfenced group, no
+    /// keeper worked for the old primary any more, in milliseconds.
     pub fenced_after_ms: Option<u64>,
     /// Time from detection until the new primary was promoted, in milliseconds.
     pub promoted_after_ms: Option<u64>,
--- a/components/control/src/planner.rs
+++ b/components/control/src/planner.rs
@@ -44,6 +44,7 @@
     empty: BTreeMap<Name, Instant>,
     /// Generation on which the last proposal for a group was based, and its time.
     proposed: BTreeMap<Name, (u64, Instant)>,
+    /// Index of the state at the last planning pass, and its time.
     planned: Option<(u64, Instant)>,
     /// Entries that may keep groups; [`Planner::targets`] is computed from them.
     candidates: Vec<Candidate>,
@@ -121,7 +122,7 @@
         self.returned.retain(|(group, _), generation| {
             state.groups.get(group).is_some_and(|group| group.generation == *generation)
         });
-        let are_over = liveness.removed_leases_expired(now);
+        let removed_expired = liveness.removed_leases_expired(now);
         for (name, group) in &state.groups {
             let asked = self.proposed.get(name).is_some_and(|&(generation, at)| {
                 generation == group.generation && now.since(at) < PROPOSAL_TIMEOUT
@@ -129,7 +130,7 @@
             if asked || !self.is_ready(now, state, name, group) {
                 continue;
             }
-            if let Some(leases) = self.plan(state, (liveness, are_over), name, group) {
+            if let Some(leases) = self.plan(state, (liveness, removed_expired), name, group) {
                 self.proposed.insert(name.clone(), (group.generation, now));
                 let assign = Assign { group: name.to_string(), base: group.generation, leases };
                 out.push(Effect::propose(command::Body::Assign(assign)));
@@ -175,7 +176,7 @@
     fn plan(
         &self,
         state: &State,
-        (liveness, are_over): (&Liveness, bool),
+        (liveness, removed_expired): (&Liveness, bool),
         name: &Name,
         group: &Group,
     ) -> Option<Vec<Lease>> {
@@ -183,7 +184,7 @@
         let targets: Targets<'_> = known.into_iter().flatten().collect();
         let mut leases: Vec<Lease> = group.leases.to_vec();
         leases.retain(|lease| !self.is_returned(name, group, lease));
-        let may_grow = self.flaw == Flaw::GrantEarly || liveness.can_grant(group, are_over);
+        let may_grow = self.flaw == Flaw::GrantEarly || liveness.can_grant(group, removed_expired);
         if may_grow {
             mark_returning(state, group, &targets, &mut leases);
         }
--- a/components/control/src/renewals.rs
+++ b/components/control/src/renewals.rs
@@ -1,6 +1,6 @@
 //! Tracks which backend servers still announce themselves.
 //!
-//! An announcement that changes nothing is not logged.
+//! An announcement that changes nothing is not proposed to the log.
 
 use std::collections::BTreeMap;
 
@@ -18,10 +18,13 @@
 
 #[derive(Debug)]
 struct Renewal {
+    /// When the newest announcement arrived.
     heard: Instant,
+    /// Announcement that was proposed last, and when.
     proposed: Option<(Announce, Instant)>,
     /// Incarnation and sequence number of the newest announcement.
     newest: (u64, u64),
+    /// When the expiry of the server was proposed last.
     expired: Option<Instant>,
 }
 
--- a/components/control/src/state.rs
+++ b/components/control/src/state.rs
@@ -29,7 +29,7 @@
     pub document: Bytes,
     /// The declarations in force.
     pub declarations: Arc<Declarations>,
-    /// Database groups, declared or announced, by name.
+    /// Database groups that are or were declared, by name.
     pub groups: BTreeMap<Name, Group>,
     /// Backend servers, by name.
     pub servers: BTreeMap<Name, Server>,
@@ -47,9 +47,9 @@
 /// A database group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Group {
-    /// Servers that have a seat, in the order of their first announcements. A
-    /// server keeps its seat after its announcements expire, because a majority
-    /// is counted over the declared number of servers.
+    /// Servers that have a seat, in the order in which they took it. A server keeps
+    /// its seat after its announcements expire, because a majority is counted over
+    /// the declared number of servers.
     pub seats: SmallVec<[Name; 3]>,
     /// Highest term that was intended or established.
     pub term: Term,
@@ -57,11 +57,13 @@
     pub phase: Phase,
     /// Primary of the newest established term.
     pub primary: Option<Name>,
-    /// Log position at which each term began, for the terms that a failover chose.
+    /// Log position at which each term began, for the terms whose primary a failover
+    /// chose.
     pub history: History,
     /// Leases of entries on the servers of the group.
     pub leases: SmallVec<[Lease; 2]>,
-    /// Version of the leases; each change increments it.
+    /// Version of the leases; each change of the leases and each removal of an entry
+    /// increments it.
     pub generation: u64,
     /// Index of the last command that reduced a lease.
     pub reduced_index: u64,
--- a/components/control/src/trace.rs
+++ b/components/control/src/trace.rs
@@ -15,11 +15,12 @@
     pub cause: Cause,
     /// When the leader detected the cause.
     pub noticed: Instant,
-    /// When a majority was fenced.
+    /// When a majority was fenced or, in an unfenced group, no keeper worked for the
+    /// old primary any more.
     pub fenced: Option<Instant>,
     /// When the new primary was promoted.
     pub promoted: Option<Instant>,
-    /// When a majority followed the new primary and the term was established in the log.
+    /// When the leader found the term established in the log.
     pub established: Option<Instant>,
 }
 
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -32,10 +32,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     status: Option<Status>,
+    /// When the newest status report arrived.
     heard: Option<Instant>,
+    /// When the status probe in flight was sent.
     asked: Option<Instant>,
+    /// Last failure of a status probe since the newest report, and when it occurred.
     failed: Option<(ProbeError, Instant)>,
+    /// Failed status probes in a row.
     failures: u32,
+    /// Order in flight, and when it was sent.
     order: Option<(Ask, Instant)>,
 }
 
@@ -53,8 +58,8 @@
         self.status.as_ref().filter(|_| !broken)
     }
 
-    /// Newest status report, if it is no older than a healthy group's may be and
-    /// no probe has failed since.
+    /// Newest status report, if it is no older than [`HEALTHY_PROBE_INTERVAL`] plus
+    /// [`FRESH_AGE_LIMIT`] and no probe has failed since.
     pub fn recent(&self, now: Instant) -> Option<&Status> {
         let late = self
             .heard
@@ -62,7 +67,7 @@
         self.status.as_ref().filter(|_| !late && self.failures == 0)
     }
 
-    /// Whether a status probe is due; `healthy` if the group is healthy.
+    /// Whether a status probe is due; `healthy` is whether the group is healthy.
     pub fn is_due(&self, now: Instant, healthy: bool) -> bool {
         if healthy && self.heard.is_some_and(|heard| now.since(heard) < HEALTHY_PROBE_INTERVAL) {
             return false;
@@ -119,8 +124,8 @@
         match result {
             Ok(status) => self.report(now, status),
             Err(_) if ask != Ask::Status => {}
-            Err(unreached) => {
-                self.failed = Some((unreached, now));
+            Err(error) => {
+                self.failed = Some((error, now));
                 self.failures += 1;
             }
         }
