--- a/components/control/tests/configuration.rs
+++ b/components/control/tests/configuration.rs
@@ -26,11 +26,13 @@
 struct Oracle {
     accepted: Vec<String>,
     answers: BTreeMap<String, Answer>,
+    /// By index: the expected answer, and the number of changes accepted so far.
     due: Vec<(Answer, usize)>,
 }
 
 impl Oracle {
-    fn take(&mut self, index: u64, configure: &Configure) {
+    /// Records the change at an index, and the answer that members must give to it.
+    fn record(&mut self, index: u64, configure: &Configure) {
         let version = self.accepted.len() as u64;
         let first = if configure.base != version {
             Answer::Conflict { version }
@@ -61,6 +63,7 @@
     Ok(Configure { change, base, content, patch: String::new() })
 }
 
+/// Applies the next command to a member and checks the answer and the declarations.
 fn apply(
     member: &mut State,
     log: &[Command],
@@ -81,13 +84,14 @@
     Ok(())
 }
 
+/// Runs one schedule; `forgets` is whether images lose the answers to changes.
 fn property(u: &mut Unstructured<'_>, forgets: bool) -> Result<std::result::Result<(), Violation>> {
     let mut members = vec![State::default(); MEMBERS];
     let mut log = Vec::new();
     let mut oracle = Oracle::default();
     for step in 0..STEPS as u64 {
         let configure = draw(u, oracle.accepted.len() as u64, step / 2)?;
-        oracle.take(log.len() as u64 + 1, &configure);
+        oracle.record(log.len() as u64 + 1, &configure);
         log.push(Command { body: Some(command::Body::Configure(configure)) });
         let at = u.choose_index(MEMBERS)?;
         let from = u.choose_index(MEMBERS)?;
--- a/components/control/tests/designation.rs
+++ b/components/control/tests/designation.rs
@@ -21,7 +21,7 @@
 struct Server {
     role: Role,
     mark: Mark,
-    state: Health,
+    health: Health,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,10 +38,13 @@
     servers: BTreeMap<Name, Server>,
     /// Probes in flight: when to answer, the server and the request.
     probes: Vec<(Instant, Name, Ask)>,
+    /// Servers that were designated, with the fencing tokens.
     designated: Vec<(Name, u64)>,
     /// Whether designated servers become primary.
     accepts_designation: bool,
-    beats: Vec<(&'static str, u64)>,
+    /// Entries that send heartbeats, with their incarnations.
+    heartbeats: Vec<(&'static str, u64)>,
+    /// Number of the newest status report.
     version: u64,
 }
 
@@ -58,7 +61,7 @@
             probes: Vec::new(),
             designated: Vec::new(),
             accepts_designation: true,
-            beats: vec![("e1", 1), ("e2", 1)],
+            heartbeats: vec![("e1", 1), ("e2", 1)],
             version: 0,
         };
         let content = r#"{"groups":{"g":{"servers":15,"acknowledges":true}}}"#;
@@ -66,7 +69,7 @@
         for (index, server) in ["s0", "s1", "s2"].into_iter().enumerate() {
             let role = if index == 0 { Role::Primary } else { Role::Replica };
             let mark = Mark::new(1, 100);
-            world.servers.insert(name(server), Server { role, mark, state: Health::Up });
+            world.servers.insert(name(server), Server { role, mark, health: Health::Up });
             world.announce(server, false);
         }
         for entry in ["e1", "e2"] {
@@ -132,8 +135,9 @@
         self.probes = later;
         for (_, server, ask) in due {
             let known = self.servers[&server];
+            // a request to a silent server stays in flight until the server is up again
             let lasting = now + Duration::from_millis(700);
-            match known.state {
+            match known.health {
                 Health::Silent => self.probes.push((lasting, server, ask)),
                 Health::Refusing => self.record_result(server, ask, Err(ProbeError::Refused)),
                 Health::Up => {
@@ -179,7 +183,7 @@
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
             self.now += TICK;
-            for (entry, incarnation) in self.beats.clone() {
+            for (entry, incarnation) in self.heartbeats.clone() {
                 let (entry, applied) = (name(entry), self.state.index);
                 self.tell(Event::Beat { entry, incarnation, applied, returned: Vec::new() });
             }
@@ -188,8 +192,8 @@
         }
     }
 
-    fn set(&mut self, server: &str, state: Health) {
-        self.servers.get_mut(server).unwrap().state = state;
+    fn set(&mut self, server: &str, health: Health) {
+        self.servers.get_mut(server).unwrap().health = health;
     }
 
     fn set_position(&mut self, server: &str, position: u64) {
@@ -206,7 +210,7 @@
         self.tell(Event::Symptom { entry: name(entry), symptom });
     }
 
-    /// Seals a keeper that has acknowledged up to a position.
+    /// Reports the seal of a keeper that has acknowledged commits up to a position.
     fn seal(&mut self, entry: &str, position: u64) {
         let term = self.state.groups["g"].term.0;
         let mark = Some(Mark::new(1, position).into());
@@ -289,7 +293,7 @@
     world.set("s2", Health::Refusing);
     world.crash();
     world.seal("e1", 100);
-    world.beats = vec![("e1", 1)];
+    world.heartbeats = vec![("e1", 1)];
     // what e2 acknowledged is unknown, and the only replica may lack it
     world.commit(command::Body::Part(Part { entry: "e2".to_owned(), incarnation: 1, over: true }));
     world.pass(3_000);
@@ -303,7 +307,7 @@
 fn goes_on_without_a_keeper_whose_lease_is_over() {
     let mut world = World::new();
     world.crash();
-    world.beats = vec![("e1", 1)];
+    world.heartbeats = vec![("e1", 1)];
     world.seal("e1", 100);
     world.pass(1_500);
     assert_eq!(world.phase(), Phase::Intended, "the lease of e2 may still be in force");
@@ -312,10 +316,10 @@
 }
 
 #[test]
-fn a_new_leader_waits_for_a_keeper_that_was_given_up_and_may_not_know_it() {
+fn a_new_leader_waits_for_a_removed_keeper_that_may_not_know_it() {
     let mut world = World::new();
     world.crash();
-    world.beats = vec![("e1", 1)];
+    world.heartbeats = vec![("e1", 1)];
     // the earlier leader removed the entry and may have confirmed a heartbeat since
     let part = Part { entry: "e2".to_owned(), incarnation: 1, over: false };
     world.commit(command::Body::Part(part));
@@ -345,7 +349,7 @@
 }
 
 #[test]
-fn a_new_leader_lets_the_orders_of_the_old_one_run_out() {
+fn a_new_leader_waits_until_designations_of_the_old_one_have_timed_out() {
     let mut world = World::new();
     world.accepts_designation = false;
     world.crash();
@@ -353,8 +357,8 @@
     world.seal("e2", 100);
     world.pass(500);
     assert!(matches!(world.phase(), Phase::Chosen { .. }));
-    let past = Leadership { token: TOKEN + 1, last_chosen: Some(world.now) };
-    world.leader = Leader::with_leadership(world.now, past);
+    let leadership = Leadership { token: TOKEN + 1, last_chosen: Some(world.now) };
+    world.leader = Leader::with_leadership(world.now, leadership);
     world.designated.clear();
     world.pass(LEASE_DURATION.as_millis() as u64 - 200);
     assert!(world.designated.is_empty());
@@ -376,7 +380,7 @@
 }
 
 #[test]
-fn replaces_a_primary_that_all_keepers_miss() {
+fn replaces_a_primary_that_all_keepers_report_as_silent() {
     let mut world = World::new();
     for _ in 0..3 {
         if world.primary().is_some() {
@@ -389,7 +393,7 @@
 }
 
 #[test]
-fn keeps_a_primary_that_one_keeper_misses() {
+fn keeps_a_primary_that_one_keeper_reports_as_silent() {
     let mut world = World::new();
     for _ in 0..6 {
         world.symptom("e1", Sight::Silent);
--- a/components/control/tests/failover.rs
+++ b/components/control/tests/failover.rs
@@ -28,8 +28,11 @@
 }
 
 enum Action {
+    /// A server executes a request, and answers unless the answer is lost.
     Run { epoch: u64, server: usize, ask: Ask, answers: bool },
+    /// The result of a probe reaches the leader.
     Answer { epoch: u64, event: Event },
+    /// A proposed command is committed.
     Commit { command: Command },
 }
 
@@ -38,17 +41,25 @@
     servers: Vec<Server>,
     state: State,
     leader: Leader,
+    /// Number of elections; answers to an earlier leader are dropped.
     epoch: u64,
     flaw: Flaw,
+    /// Actions by the time at which they are due; a number orders those of one time.
     due: BTreeMap<(Instant, u64), Action>,
     order: u64,
+    /// Commands that are proposed but not committed.
     proposals: VecDeque<Command>,
+    /// When the last proposed command will be committed.
     committing: Instant,
+    /// Server that was promoted in each term.
     primaries: BTreeMap<Term, Name>,
+    /// Records that are not acknowledged, each with the servers that reported it.
     pending: Vec<(Mark, Record, BTreeSet<Name>)>,
     acked: Vec<(Mark, Record)>,
+    /// Number of the last record that was written.
     written: u64,
-    trouble: bool,
+    /// Whether requests and replication are disturbed.
+    faulty: bool,
     /// Extra delay of each answer of a server, by index.
     slow: BTreeMap<usize, Duration>,
 }
@@ -93,7 +104,7 @@
             pending: Vec::new(),
             acked: Vec::new(),
             written: 0,
-            trouble: true,
+            faulty: true,
             slow: BTreeMap::new(),
         }
     }
@@ -127,26 +138,28 @@
     fn probe(&mut self, u: &mut Unstructured<'_>, server: &Name, ask: Ask) -> Result<()> {
         let index = self.servers.iter().position(|s| s.name == *server).unwrap();
         let epoch = self.epoch;
-        let outcome = if self.trouble { u.int_in_range(0..=15u8)? } else { 0 };
+        let outcome = if self.faulty { u.int_in_range(0..=15u8)? } else { 0 };
         let wait = if ask == Ask::Status { 20 } else { 1 };
         let slow = self.slow.get(&index).copied().unwrap_or_default();
         let run = slow + Duration::from_millis(wait + u.int_in_range(0..=3)?);
         let silent = Duration::from_millis(400);
         match outcome {
+            // the answer is lost; the server may execute the order long after the timeout
             15 if ask != Ask::Status => {
                 let late = Duration::from_millis(u.int_in_range(0..=3_000)?);
                 self.at(late, Action::Run { epoch, server: index, ask, answers: false });
                 self.fail(silent, index, ask, ProbeError::Silent);
             }
+            // the order is lost
             14 if ask != Ask::Status => self.fail(silent, index, ask, ProbeError::Silent),
             _ => self.at(run, Action::Run { epoch, server: index, ask, answers: true }),
         }
         Ok(())
     }
 
-    fn fail(&mut self, after: Duration, index: usize, ask: Ask, unreached: ProbeError) {
+    fn fail(&mut self, after: Duration, index: usize, ask: Ask, error: ProbeError) {
         let (group, server) = (Name::new("g").unwrap(), self.servers[index].name.clone());
-        let event = Event::Probed { group, server, ask, result: Err(unreached) };
+        let event = Event::Probed { group, server, ask, result: Err(error) };
         let epoch = self.epoch;
         self.at(after, Action::Answer { epoch, event });
     }
@@ -160,10 +173,10 @@
     ) -> Result<std::result::Result<(), Violation>> {
         let server = &mut self.servers[index];
         if !server.up || server.unheard {
-            let unreached = if server.up { ProbeError::Silent } else { ProbeError::Refused };
+            let error = if server.up { ProbeError::Silent } else { ProbeError::Refused };
             let after = if server.up { 300 } else { 1 };
             if answers {
-                self.fail(Duration::from_millis(after), index, ask, unreached);
+                self.fail(Duration::from_millis(after), index, ask, error);
             }
             return Ok(Ok(()));
         }
@@ -245,7 +258,7 @@
                 }
             }
             self.now = until;
-            let records = if self.trouble { u.int_in_range(0..=2)? } else { 10 };
+            let records = if self.faulty { u.int_in_range(0..=2)? } else { 10 };
             replicate(self.now, &mut self.servers, records);
             self.acknowledge(u)?;
             self.tell(u, Event::Tick)?;
@@ -273,7 +286,8 @@
         }
     }
 
-    /// Records reports of the servers as a keeper does, each at a random time.
+    /// Acknowledges, as a keeper does, the records that the primary and a majority
+    /// have reported. Each server reports each record at a random time.
     fn acknowledge(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let majority = self.servers.len() / 2 + 1;
         let mut acked = Vec::new();
@@ -305,6 +319,7 @@
         self.pending.push((mark, record, BTreeSet::new()));
     }
 
+    /// Elects another leader; a random number of the newest open proposals is lost.
     fn elect(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let keep = u.int_in_range(0..=self.proposals.len())?;
         let commits: Vec<_> = self
@@ -373,7 +388,7 @@
 
     /// Ends all faults and waits for a primary that all servers follow.
     fn settle(&mut self, u: &mut Unstructured<'_>) -> Result<std::result::Result<(), Violation>> {
-        self.trouble = false;
+        self.faulty = false;
         for server in &mut self.servers {
             server.isolated = false;
             server.unheard = false;
@@ -389,10 +404,10 @@
         let leads = |server: &&Server| {
             Some(&server.name) == group.primary.as_ref() && server.role == Role::Primary
         };
-        let whole = group.phase == Phase::Settled
+        let converged = group.phase == Phase::Settled
             && self.servers.iter().all(joined)
             && self.servers.iter().filter(leads).count() == 1;
-        if whole {
+        if converged {
             return Ok(self.check_lineage());
         }
         let state = format!("{group:?} {:?}", self.servers);
@@ -431,9 +446,9 @@
 
 impl World {
     /// Creates a healthy group with a primary, and returns the index of the primary.
-    fn calm(u: &mut Unstructured<'_>) -> Result<(Self, usize)> {
+    fn healthy(u: &mut Unstructured<'_>) -> Result<(Self, usize)> {
         let mut world = Self::new(3, Flaw::None);
-        world.trouble = false;
+        world.faulty = false;
         let ticks = 150 + u.int_in_range(0..=20)?;
         world.pass(u, ticks)?.unwrap();
         let primary = world.state.groups["g"].primary.clone().expect("a primary after 3 s");
@@ -443,7 +458,7 @@
         Ok((world, at))
     }
 
-    /// Time until another primary is established; at most 10 s.
+    /// Time until the primary with index `was` is replaced by another one; at most 10 s.
     fn gap(&mut self, u: &mut Unstructured<'_>, was: usize) -> Result<Duration> {
         let (began, name) = (self.now, self.servers[was].name.clone());
         for _ in 0..500 {
@@ -462,7 +477,7 @@
     let mut gaps = Vec::new();
     for seed in 1..=200 {
         let run = |u: &mut Unstructured<'_>| {
-            let (mut world, primary) = World::calm(u)?;
+            let (mut world, primary) = World::healthy(u)?;
             fault(&mut world, primary);
             gaps.push(world.gap(u, primary)?);
             let trace = world.leader.traces().last().expect("a failover");
@@ -500,7 +515,7 @@
 #[test]
 fn another_leader_replaces_a_primary_that_only_its_replicas_lost() {
     let run = |u: &mut Unstructured<'_>| {
-        let (mut world, primary) = World::calm(u)?;
+        let (mut world, primary) = World::healthy(u)?;
         world.servers[primary].isolated = true;
         world.pass(u, 21)?.unwrap();
         for _ in 0..3 {
@@ -519,7 +534,7 @@
 #[test]
 fn never_replaces_a_primary_for_being_slow() {
     let run = |u: &mut Unstructured<'_>| {
-        let (mut world, primary) = World::calm(u)?;
+        let (mut world, primary) = World::healthy(u)?;
         world.slow.insert(primary, Duration::from_millis(200));
         let term = world.state.groups["g"].term;
         for _ in 0..40 {
@@ -537,7 +552,7 @@
 #[test]
 fn hands_over_from_a_primary_that_leaves() {
     let run = |u: &mut Unstructured<'_>| {
-        let (mut world, primary) = World::calm(u)?;
+        let (mut world, primary) = World::healthy(u)?;
         let name = world.servers[primary].name.clone();
         let mut announce = world.state.servers[&name].to_announce(&name);
         announce.leaving = true;
--- a/components/control/tests/group/mod.rs
+++ b/components/control/tests/group/mod.rs
@@ -24,8 +24,11 @@
     pub term: Term,
     pub log: Vec<Record>,
     pub role: Role,
+    /// Address of the primary from which a replica copies records.
     pub source: Option<SocketAddr>,
+    /// When the last heartbeat of the primary arrived.
     pub heard: Instant,
+    /// Number of the newest status within the incarnation.
     pub version: u64,
 }
 
@@ -52,6 +55,7 @@
         self.log.last().map_or(Term(0), |record| record.0)
     }
 
+    /// Whether the server is up and its log contains the record at a mark.
     pub fn holds(&self, mark: Mark) -> bool {
         self.up && self.status(Instant::ZERO).holds(mark)
     }
@@ -109,7 +113,7 @@
         self.up = false;
     }
 
-    /// Restarts the server; `keeps` is whether it keeps its role.
+    /// Restarts the server; `keeps` is whether the server keeps its role and source.
     pub fn restart(&mut self, now: Instant, keeps: bool) {
         self.up = true;
         self.incarnation += 1;
--- a/components/control/tests/image.rs
+++ b/components/control/tests/image.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn reads_an_entry_that_told_no_web_address() {
+fn reads_an_entry_without_a_web_address() {
     // an empty string is not encoded, so the image equals that of an older release
     let state = joined("");
     let read = State::decode(&state.encode()).expect("an image");
--- a/components/control/tests/leader.rs
+++ b/components/control/tests/leader.rs
@@ -92,11 +92,13 @@
         }
     }
 
-    fn pass(&mut self, time: Duration, beats: &[(&str, u64)]) {
+    /// Advances the time by whole ticks. The entries in `heartbeats`, given with their
+    /// incarnations, send heartbeats, and all servers announce themselves.
+    fn pass(&mut self, time: Duration, heartbeats: &[(&str, u64)]) {
         let until = self.now + time;
         while self.now < until {
             self.now += TICK;
-            for (entry, incarnation) in beats {
+            for (entry, incarnation) in heartbeats {
                 let (entry, incarnation) = (name(entry), *incarnation);
                 let applied = self.state.index;
                 let groups = self.state.groups.values();
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn gives_a_silent_entry_up_only_after_lease_and_margin() {
+fn removes_a_silent_entry_only_after_lease_and_margin() {
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn an_entry_that_was_given_up_meanwhile_gets_no_lease() {
+fn an_entry_that_was_removed_meanwhile_gets_no_lease() {
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.tell(Event::Joined(join("e2", 1, "a")));
@@ -244,12 +246,12 @@
 }
 
 #[test]
-fn a_new_leader_waits_for_a_start_that_was_given_up_and_may_not_know_it() {
+fn a_new_leader_waits_for_a_removed_incarnation_that_may_not_know_it() {
     assert!(!grants_early(Flaw::None));
 }
 
 #[test]
-fn finds_a_new_leader_that_forgets_who_was_given_up() {
+fn finds_a_new_leader_that_forgets_removed_incarnations() {
     assert!(grants_early(Flaw::ForgetDeparted));
 }
 
@@ -267,7 +269,7 @@
 }
 
 #[test]
-fn takes_the_lease_of_an_earlier_start_that_is_known_to_have_ended() {
+fn takes_the_lease_of_an_earlier_incarnation_that_is_known_to_have_ended() {
     let mut world = World::new(2, false);
     let sole = |incarnation| Join { sole: true, ..join("e1", incarnation, "a") };
     world.tell(Event::Joined(sole(1)));
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn entries_that_carry_little_keep_groups_only_where_others_are_too_few() {
+fn entries_of_low_weight_keep_groups_only_where_others_are_too_few() {
     let mut world = World::new(2, false);
     let weighs = |entry: &str, weight| Join { weight, ..join(entry, 1, "a") };
     world.tell(Event::Joined(weighs("weak", 2)));
@@ -293,8 +295,8 @@
     for entry in ["strong-1", "strong-2"] {
         world.tell(Event::Joined(weighs(entry, 100)));
     }
-    let beats = [("weak", 1), ("strong-1", 1), ("strong-2", 1)];
-    world.pass(Duration::from_secs(3), &beats);
+    let heartbeats = [("weak", 1), ("strong-1", 1), ("strong-2", 1)];
+    world.pass(Duration::from_secs(3), &heartbeats);
     let leases = &world.state.groups["g"].leases;
     let holders: Vec<_> = leases.iter().map(|lease| lease.entry.as_str()).collect();
     assert_eq!(holders, ["strong-1", "strong-2"]);
@@ -325,7 +327,7 @@
 }
 
 #[test]
-fn refuses_what_an_announcement_may_not_say() {
+fn refuses_announcements_that_contradict_the_state() {
     let mut world = World::new(2, false);
     let refused = |refusal| Outcome::Refused(refusal);
     let fourth = announce("s3", 2);
--- a/components/control/tests/leases.rs
+++ b/components/control/tests/leases.rs
@@ -19,7 +19,7 @@
 const TICK: Duration = control::leader::TICK;
 
 /// Time for which the old limit is still allowed after a server lowered it.
-const LOWERED: Duration = Duration::from_secs(6);
+const LOWERED_LIMIT_GRACE: Duration = Duration::from_secs(6);
 
 #[derive(Debug)]
 #[expect(dead_code, reason = "the fields are printed with a failing seed")]
@@ -36,13 +36,18 @@
     incarnation: u64,
     state: State,
     lease_until: Instant,
-    next_beat: Instant,
+    next_heartbeat: Instant,
+    /// Confirmed heartbeats that renew the leases once the entry has applied an
+    /// index: that index, and when the heartbeat was sent.
     waiting: Vec<(u64, Instant)>,
+    /// Shares that the entry uses, by group.
     held: BTreeMap<Name, Vec<Share>>,
-    given: Vec<Name>,
+    /// Groups whose returning lease the entry has released.
+    released: Vec<Name>,
 }
 
 enum Action {
+    /// A heartbeat of an entry reaches the leader.
     Beat {
         epoch: u64,
         entry: usize,
@@ -51,6 +56,7 @@
         returned: Vec<Name>,
         sent: Instant,
     },
+    /// The confirmation of a heartbeat reaches the entry.
     Confirm {
         entry: usize,
         incarnation: u64,
@@ -78,13 +84,18 @@
     state: State,
     log: Vec<Command>,
     leader: Leader,
+    /// Number of elections; messages to an earlier leader are dropped.
     epoch: u64,
     flaw: Flaw,
+    /// Actions by the time at which they are due; a number orders those of one time.
     due: BTreeMap<(Instant, u64), Action>,
     order: u64,
+    /// When the last proposed command will be committed.
     committing: Instant,
+    /// Limits that each server announced: when, grantable connections and slots.
     limits: BTreeMap<String, Vec<(Instant, u32, u32)>>,
-    trouble: bool,
+    /// Whether messages are late and entries lag.
+    faulty: bool,
 }
 
 fn wrap(body: command::Body) -> Command {
@@ -122,7 +133,7 @@
             order: 0,
             committing: Instant::ZERO,
             limits: BTreeMap::new(),
-            trouble: true,
+            faulty: true,
         };
         let content = r#"{"groups":{"g1":{"servers":3},"g2":{"servers":3}}}"#.to_owned();
         let configure =
@@ -178,7 +189,7 @@
     }
 
     fn delay(&self, u: &mut Unstructured<'_>) -> Result<Duration> {
-        let late = self.trouble && u.ratio(1, 12)?;
+        let late = self.faulty && u.ratio(1, 12)?;
         let millis = if late { u.int_in_range(0..=4_000)? } else { u.int_in_range(0..=15)? };
         Ok(Duration::from_millis(millis))
     }
@@ -187,7 +198,7 @@
         let incarnation = self.entries[at].incarnation + 1;
         let state = State::decode(&self.state.encode()).unwrap();
         self.entries[at] =
-            Entry { up: true, incarnation, state, next_beat: self.now, ..Entry::default() };
+            Entry { up: true, incarnation, state, next_heartbeat: self.now, ..Entry::default() };
         self.rejoin(u, at)
     }
 
@@ -234,20 +245,20 @@
 
     /// Runs one tick of a running entry: applies the log, takes over its leases and
     /// sends heartbeats.
-    fn live(&mut self, u: &mut Unstructured<'_>, at: usize) -> Result<()> {
+    fn run_entry(&mut self, u: &mut Unstructured<'_>, at: usize) -> Result<()> {
         if !self.entries[at].up {
             return Ok(());
         }
         let log = &self.log;
         let entry = &mut self.entries[at];
-        if !(entry.isolated || entry.lagging && self.trouble) {
-            let steps = if self.trouble { u.int_in_range(0..=4)? } else { 50 };
+        if !(entry.isolated || entry.lagging && self.faulty) {
+            let steps = if self.faulty { u.int_in_range(0..=4)? } else { 50 };
             for _ in 0..steps {
                 let Some(command) = log.get(entry.state.index as usize) else {
                     break;
                 };
                 entry.state.apply(entry.state.index + 1, command);
-                hold(entry, &name(at));
+                take_leases(entry, &name(at));
             }
         }
         let applied = entry.state.index;
@@ -260,18 +271,19 @@
             !counts
         });
         entry.lease_until = until;
-        give_up(u, entry, &name(at))?;
-        if self.now >= entry.next_beat {
-            entry.next_beat = self.now + HEARTBEAT_INTERVAL;
+        release(u, entry, &name(at))?;
+        if self.now >= entry.next_heartbeat {
+            entry.next_heartbeat = self.now + HEARTBEAT_INTERVAL;
             let isolated = entry.isolated;
-            let (incarnation, returned) = (entry.incarnation, entry.given.clone());
+            let (incarnation, returned) = (entry.incarnation, entry.released.clone());
             let absent =
                 entry.state.entries.get(&name(at)).is_none_or(|e| e.incarnation < incarnation);
             if !isolated {
                 let (epoch, sent) = (self.epoch, self.now);
                 let delay = self.delay(u)?;
-                let beat = Action::Beat { epoch, entry: at, incarnation, applied, returned, sent };
-                self.at(delay, beat);
+                let heartbeat =
+                    Action::Beat { epoch, entry: at, incarnation, applied, returned, sent };
+                self.at(delay, heartbeat);
                 if absent {
                     self.rejoin(u, at)?;
                 }
@@ -280,6 +292,7 @@
         Ok(())
     }
 
+    /// Checks that the shares which entries use do not exceed the limits of a server.
     fn check(&self) -> std::result::Result<(), Violation> {
         for (server, limits) in &self.limits {
             let (mut connections, mut slots) = (0, 0);
@@ -290,8 +303,9 @@
                     slots += share.slots;
                 }
             }
-            let recent =
-                |at: usize| limits.get(at + 1).is_none_or(|next| self.now.since(next.0) < LOWERED);
+            let recent = |at: usize| {
+                limits.get(at + 1).is_none_or(|next| self.now.since(next.0) < LOWERED_LIMIT_GRACE)
+            };
             let counts = || (0..limits.len()).filter(|&at| recent(at)).map(|at| limits[at]);
             let most = counts().map(|l| l.1).max().unwrap();
             let most_slots = counts().map(|l| l.2).max().unwrap();
@@ -321,7 +335,7 @@
             }
             self.now = until;
             for at in 0..ENTRIES {
-                self.live(u, at)?;
+                self.run_entry(u, at)?;
             }
             if let Err(violation) = self.check() {
                 return Ok(Err(violation));
@@ -331,6 +345,7 @@
         Ok(Ok(()))
     }
 
+    /// Elects another leader; a random number of the newest open proposals is lost.
     fn elect(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let commits: Vec<_> = self
             .due
@@ -382,7 +397,7 @@
 
     /// Ends all faults, and waits until all limits are granted in full.
     fn settle(&mut self, u: &mut Unstructured<'_>) -> Result<std::result::Result<(), Violation>> {
-        self.trouble = false;
+        self.faulty = false;
         for at in 0..ENTRIES {
             self.entries[at].isolated = false;
             let drain = Drain { entry: name(at).to_string(), on: false };
@@ -415,17 +430,17 @@
 }
 
 /// Takes over the leases that the entry's state grants it.
-fn hold(entry: &mut Entry, name: &Name) {
+fn take_leases(entry: &mut Entry, name: &Name) {
     for (group, known) in &entry.state.groups {
         let own = known.lease(name.as_str()).filter(|l| l.incarnation == entry.incarnation);
         match own {
             Some(lease) if lease.returning => shrink(entry.held.get_mut(group), &lease.shares),
             Some(lease) => {
-                entry.given.retain(|given| given != group);
+                entry.released.retain(|released| released != group);
                 entry.held.insert(group.clone(), lease.shares.clone());
             }
             None => {
-                entry.given.retain(|given| given != group);
+                entry.released.retain(|released| released != group);
                 entry.held.remove(group);
             }
         }
@@ -440,14 +455,15 @@
     }
 }
 
-fn give_up(u: &mut Unstructured<'_>, entry: &mut Entry, name: &Name) -> Result<()> {
+/// Releases returning leases at random times.
+fn release(u: &mut Unstructured<'_>, entry: &mut Entry, name: &Name) -> Result<()> {
     for (group, known) in &entry.state.groups {
         let own = known.lease(name.as_str()).filter(|l| l.incarnation == entry.incarnation);
         if own.is_some_and(|lease| lease.returning) && u.ratio(1, 6)? {
             entry.held.remove(group);
-            if !entry.given.contains(group) {
-                entry.given.push(group.clone());
-                entry.next_beat = Instant::ZERO;
+            if !entry.released.contains(group) {
+                entry.released.push(group.clone());
+                entry.next_heartbeat = Instant::ZERO;
             }
         }
     }
--- a/components/control/tests/schedule/mod.rs
+++ b/components/control/tests/schedule/mod.rs
@@ -8,8 +8,11 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 
+/// Number of schedules, unless `TREFOIL_FUZZ_SCHEDULES` is set.
 const SCHEDULES: u64 = 300;
+/// Number of threads that run schedules concurrently.
 const THREADS: usize = 4;
+/// Number of random bytes from which a schedule draws its choices.
 const BYTES: u64 = 24 << 10;
 
 /// Result of a schedule: the violation that its checks found, if any.
