--- a/components/member/src/api.rs
+++ b/components/member/src/api.rs
@@ -7,25 +7,26 @@
 use wire::log::{Announce, Command, Replace, command};
 use wire::pack::{self, Garbled};
 
-use crate::input::{Input, Sender, Unled, Verdict};
+use crate::input::{Completion, Input, NoLeader, Sender};
 
 /// Time after which an answer is given up.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a question has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
-pub enum Lost {
+pub enum RequestError {
     /// No leader took it; it was not done.
-    Unled,
+    #[strum(serialize = "Unled")]
+    NoLeader,
     /// The leader was lost before it answered; it may have been done.
     Unknown,
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for RequestError {}
 
-impl From<Unled> for Lost {
-    fn from(Unled: Unled) -> Self {
-        Self::Unled
+impl From<NoLeader> for RequestError {
+    fn from(NoLeader: NoLeader) -> Self {
+        Self::NoLeader
     }
 }
 
@@ -63,14 +64,14 @@
     pub(crate) async fn ask<T>(
         &self,
         input: impl FnOnce(oneshot::Sender<T>) -> Input,
-    ) -> Result<T, Lost> {
+    ) -> Result<T, RequestError> {
         let (reply, answer) = oneshot::channel();
-        self.core.send(input(reply)).await.map_err(|_closed| Lost::Unled)?;
+        self.core.send(input(reply)).await.map_err(|_closed| RequestError::NoLeader)?;
         let answer = tokio::time::timeout(TIMEOUT, answer).await;
-        answer.map_err(|_elapsed| Lost::Unknown)?.map_err(|_closed| Lost::Unknown)
+        answer.map_err(|_elapsed| RequestError::Unknown)?.map_err(|_closed| RequestError::Unknown)
     }
 
-    pub(crate) async fn propose(&self, body: command::Body) -> Result<Verdict, Lost> {
+    pub(crate) async fn propose(&self, body: command::Body) -> Result<Completion, RequestError> {
         let command = Command { body: Some(body) };
         self.ask(|reply| Input::Propose { command, reply }).await
     }
@@ -78,16 +79,16 @@
     /// Passes on what a backend server says of itself.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn announce(&self, announce: Announce) -> Result<(), Lost> {
+    /// [`RequestError`].
+    pub async fn announce(&self, announce: Announce) -> Result<(), RequestError> {
         Ok(self.ask(|reply| Input::Announce { announce, reply }).await??)
     }
 
     /// Notes that a backend server is gone for good.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn retire(&self, server: Name) -> Result<(), Lost> {
+    /// [`RequestError`].
+    pub async fn retire(&self, server: Name) -> Result<(), RequestError> {
         done(&self.ask(|reply| Input::Retire { server, reply }).await?)
     }
 
@@ -95,23 +96,23 @@
     /// Whether it was taken, or passed over for a newer one.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn replace(&self, replace: Replace) -> Result<Replaced, Lost> {
+    /// [`RequestError`].
+    pub async fn replace(&self, replace: Replace) -> Result<Replaced, RequestError> {
         match self.propose(command::Body::Replace(replace)).await? {
-            Verdict::Applied { outcome: Outcome::Applied, .. } => Ok(Replaced::Taken),
-            Verdict::Applied { outcome: Outcome::Unchanged, .. } => Ok(Replaced::Passed),
-            Verdict::Applied { outcome: Outcome::Refused(Refusal::Malformed), .. } => {
+            Completion::Applied { outcome: Outcome::Applied, .. } => Ok(Replaced::Taken),
+            Completion::Applied { outcome: Outcome::Unchanged, .. } => Ok(Replaced::Passed),
+            Completion::Applied { outcome: Outcome::Refused(Refusal::Malformed), .. } => {
                 Ok(Replaced::Invalid)
             }
-            verdict => done(&verdict).map(|()| Replaced::Passed),
+            completion => done(&completion).map(|()| Replaced::Passed),
         }
     }
 
     /// The edition in force, confirmed by a quorum.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn edition(&self) -> Result<Edition, Lost> {
+    /// [`RequestError`].
+    pub async fn edition(&self) -> Result<Edition, RequestError> {
         Ok(self.ask(|reply| Input::Config { reply }).await??.edition)
     }
 }
@@ -128,10 +129,12 @@
     Invalid,
 }
 
-fn done(verdict: &Verdict) -> Result<(), Lost> {
-    match verdict {
-        Verdict::Applied { .. } | Verdict::Changed { .. } => Ok(()),
-        Verdict::Dropped { not_run: true } => Err(Lost::Unled),
-        Verdict::Dropped { not_run: false } | Verdict::Refused(_) => Err(Lost::Unknown),
+fn done(completion: &Completion) -> Result<(), RequestError> {
+    match completion {
+        Completion::Applied { .. } | Completion::Changed { .. } => Ok(()),
+        Completion::Dropped { not_run: true } => Err(RequestError::NoLeader),
+        Completion::Dropped { not_run: false } | Completion::Refused(_) => {
+            Err(RequestError::Unknown)
+        }
     }
 }
--- a/components/member/src/apply.rs
+++ b/components/member/src/apply.rs
@@ -13,8 +13,8 @@
 
 use crate::core::Core;
 use crate::event::{self, Summary};
-use crate::follow::without_document;
-use crate::input::Verdict;
+use crate::follower::without_document;
+use crate::input::Completion;
 use crate::status::Steps;
 
 /// Entries beyond the newest snapshot after which the next one is taken.
@@ -36,29 +36,29 @@
             Some(entry::Body::Command(bytes)) => Command::decode(bytes.clone()).ok(),
             Some(entry::Body::Members(_)) | None => None,
         };
-        let verdict = if let Some(command) = &command {
-            self.record(command);
-            self.remember(command);
+        let completion = if let Some(command) = &command {
+            self.record_failover(command);
+            self.record_choice(command);
             let outcome = self.state.apply(index, command);
-            self.tell(index, command, &outcome);
-            Verdict::Applied { index, outcome }
+            self.log_applied(index, command, &outcome);
+            Completion::Applied { index, outcome }
         } else {
             self.state.skip_to(index);
-            Verdict::Changed { index }
+            Completion::Changed { index }
         };
         self.meter.applied.inc();
         let command = command.map(without_document);
         self.applied.push(wire::control::Entry { index, command });
         if entry.origin == self.own.id {
-            self.resolve(entry.token, verdict);
+            self.resolve(entry.token, completion);
         }
         self.answer_reads();
-        if self.part.leads && self.leader.is_none() && entry.term == self.part.term {
-            let past = Leadership { token: entry.term, ..self.past };
-            self.leader = Some(control::Leader::with_leadership(self.now(), past));
+        if self.leadership.leads && self.leader.is_none() && entry.term == self.leadership.term {
+            let leadership = Leadership { token: entry.term, ..self.control_leadership };
+            self.leader = Some(control::Leader::with_leadership(self.now(), leadership));
             info!(self.log, "decides for control"; "term" => entry.term, "index" => index);
         }
-        self.lead(control::Event::Applied { index });
+        self.notify_leader(control::Event::Applied { index });
     }
 
     /// Takes a snapshot in place of the state.
@@ -69,13 +69,14 @@
                 self.state = state;
                 // what it passed over may have just happened
                 let now = Some(self.now());
-                self.past = Leadership { last_chosen: now, ..self.past };
+                self.control_leadership =
+                    Leadership { last_chosen: now, ..self.control_leadership };
                 info!(self.log, "took a snapshot"; "index" => snapshot.index);
             }
             Err(report) => {
                 // the sender's code is newer or broken; this member can't go on
                 crit!(self.log, "a snapshot can't be read"; "failure" => ?report);
-                self.stopping = Some(Instant::ZERO);
+                self.stopping_since = Some(Instant::ZERO);
             }
         }
         self.applied.clear();
@@ -90,17 +91,17 @@
             return;
         }
         let data = self.state.encode().into();
-        self.due.push_back(Event::Compact { index, data });
+        self.quorum_events.push_back(Event::Compact { index, data });
     }
 
     /// Logs a command at the member that decides; what it applies again after
     /// its start was logged before.
-    fn tell(&self, index: u64, command: &Command, outcome: &Outcome) {
+    fn log_applied(&self, index: u64, command: &Command, outcome: &Outcome) {
         if self.leader.is_some() {
             let summary = Summary(command);
             let applied = Applied {
                 index,
-                term: self.part.term,
+                term: self.leadership.term,
                 command: summary.kind(),
                 subject: &summary.to_string(),
                 outcome: &event::outcome(outcome),
@@ -110,13 +111,13 @@
     }
 
     /// Notes when things happened that a later leader must know the time of.
-    fn remember(&mut self, command: &Command) {
+    fn record_choice(&mut self, command: &Command) {
         if matches!(command.body, Some(Body::Choose(_))) && self.leader.is_none() {
-            self.past.last_chosen = Some(self.now());
+            self.control_leadership.last_chosen = Some(self.now());
         }
     }
 
-    fn record(&mut self, command: &Command) {
+    fn record_failover(&mut self, command: &Command) {
         match &command.body {
             Some(Body::Intend(intend)) => {
                 Steps::intended(&mut self.failovers, &intend.group, intend.term);
--- a/components/member/src/beacon.rs
+++ b/components/member/src/beacon.rs
@@ -77,10 +77,10 @@
     }
 
     /// Passes what others publish to the core, until the token is cancelled.
-    pub(crate) fn receive(&self, core: Sender, ended: CancellationToken) -> std::io::Result<()> {
+    pub(crate) fn receive(&self, core: Sender, token: CancellationToken) -> std::io::Result<()> {
         let (socket, key) = (self.subscriber.clone(), self.key.clone());
         let run = move || {
-            while !ended.is_cancelled() {
+            while !token.is_cancelled() {
                 let Ok(message) = socket.recv() else { continue };
                 if let Some(beacon) = read(&key, message.as_slice()) {
                     // a full queue may lose it
@@ -92,7 +92,7 @@
     }
 
     /// Hears a member from now on, where it publishes at present.
-    pub(crate) fn hear(&mut self, member: &Member) {
+    pub(crate) fn subscribe(&mut self, member: &Member) {
         let known = self.dialers.get(&member.id).is_some_and(|(url, _)| *url == member.beacon);
         if known || member.beacon.is_empty() {
             return;
@@ -103,7 +103,7 @@
     }
 
     /// Stops hearing all but these.
-    pub(crate) fn keep(&mut self, listed: impl Fn(u64) -> bool) {
+    pub(crate) fn retain(&mut self, listed: impl Fn(u64) -> bool) {
         self.dialers.retain(|id, _| listed(*id));
     }
 
--- a/components/member/src/boot.rs
+++ b/components/member/src/bootstrap.rs
@@ -11,63 +11,66 @@
 
 use crate::host::Peer;
 use crate::input::{Input, Sender};
-use crate::link::End;
+use crate::link::Endpoint;
 use crate::peers;
 
 /// Wait between two rounds of questions.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Finds the first membership, if that is this member's task.
-pub(crate) async fn find(peers: Vec<Peer>, end: End, core: Sender) {
+pub(crate) async fn find(peers: Vec<Peer>, endpoint: Endpoint, core: Sender) {
     let first = peers.iter().map(|peer| peer.name.as_str()).min();
-    if first != Some(end.own.name.as_str()) {
+    if first != Some(endpoint.own.name.as_str()) {
         return;
     }
     loop {
-        match ask(&peers, &end).await {
-            Found::All(members) => {
-                info!(end.log, "names the first membership"; "members" => members.members.len());
+        match survey(&peers, &endpoint).await {
+            Survey::Fresh(members) => {
+                info!(endpoint.log, "names the first membership";
+                    "members" => members.members.len());
                 drop(core.send(Input::Bootstrap(members)).await);
                 return;
             }
-            Found::Log(name) => {
-                warn!(end.log, "another member holds a log: waits to be added"; "holder" => name);
+            Survey::Held(name) => {
+                warn!(endpoint.log, "another member holds a log: waits to be added";
+                    "holder" => name);
                 return;
             }
-            Found::Some => tokio::time::sleep(PAUSE).await,
+            Survey::Incomplete => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
 
-enum Found {
+enum Survey {
     /// All members, and none holds a log.
-    All(Members),
+    Fresh(Members),
     /// A member that holds a log.
-    Log(String),
+    Held(String),
     /// Not all answered.
-    Some,
+    Incomplete,
 }
 
 fn voter(member: Member) -> Member {
     Member { voter: true, beacon: String::new(), ..member }
 }
 
-async fn ask(peers: &[Peer], end: &End) -> Found {
-    let mut members = vec![voter(end.own.clone())];
-    let others = peers.iter().filter(|peer| peer.name.as_str() != end.own.name);
-    let asked = others.map(|peer| async move { (peer, peers::greet(peer.link, end).await) });
+async fn survey(peers: &[Peer], endpoint: &Endpoint) -> Survey {
+    let mut members = vec![voter(endpoint.own.clone())];
+    let others = peers.iter().filter(|peer| peer.name.as_str() != endpoint.own.name);
+    let asked =
+        others.map(|peer| async move { (peer, peers::exchange_hello(peer.link, endpoint).await) });
     let mut complete = true;
-    for (peer, greeted) in futures::future::join_all(asked).await {
-        let Ok((hello, _, _)) = greeted else {
+    for (peer, exchanged) in futures::future::join_all(asked).await {
+        let Ok((hello, _, _)) = exchanged else {
             complete = false;
             continue;
         };
-        let Some(member) = hello.member else { return Found::Some };
+        let Some(member) = hello.member else { return Survey::Incomplete };
         if !hello.fresh {
-            return Found::Log(member.name);
+            return Survey::Held(member.name);
         }
         complete &= member.name == peer.name.as_str();
         members.push(voter(member));
     }
-    if complete { Found::All(Members { members }) } else { Found::Some }
+    if complete { Survey::Fresh(Members { members }) } else { Survey::Incomplete }
 }
--- a/components/member/src/core.rs
+++ b/components/member/src/core.rs
@@ -17,14 +17,14 @@
 use wire::quorum::message::Body;
 use wire::quorum::{Forward, Member, Message};
 
-use crate::answer::{Pending, Read};
 use crate::beacon::{Beacon, Beacons};
 use crate::disk::Writes;
-use crate::follow::Follower;
+use crate::follower::Follower;
 use crate::host::STOP_TIMEOUT;
 use crate::input::Input;
 use crate::meter::Meter;
 use crate::peers::Links;
+use crate::pending::{Pending, Read};
 use crate::probe::Probes;
 use crate::roster::Roster;
 use crate::status::Steps;
@@ -53,14 +53,14 @@
     pub(crate) fresh: Arc<AtomicBool>,
     pub(crate) replica: Replica,
     pub(crate) state: State,
-    pub(crate) part: Leadership,
+    pub(crate) leadership: Leadership,
     /// Decides for the state while this member leads.
     pub(crate) leader: Option<Leader>,
     pub(crate) writes: Writes,
     pub(crate) links: Links,
     pub(crate) beacons: Option<Beacons>,
     /// The newest beacon of each member, and when it came.
-    pub(crate) heard: BTreeMap<u64, (Beacon, Instant)>,
+    pub(crate) beacons_received: BTreeMap<u64, (Beacon, Instant)>,
     pub(crate) probes: Probes,
     pub(crate) followers: Arena<Follower>,
     /// Entries applied since followers were told.
@@ -76,24 +76,24 @@
     pub(crate) forward: Forward,
     pub(crate) failovers: VecDeque<Steps>,
     /// Last index that each entry is known to have applied.
-    pub(crate) seen: BTreeMap<String, u64>,
+    pub(crate) entry_indexes: BTreeMap<String, u64>,
     pub(crate) health: Health,
     pub(crate) meter: Meter,
     /// When a planned stop began.
-    pub(crate) stopping: Option<Instant>,
+    pub(crate) stopping_since: Option<Instant>,
     pub(crate) ticks: u64,
     /// Events that the quorum has still to take.
-    pub(crate) due: VecDeque<Event>,
+    pub(crate) quorum_events: VecDeque<Event>,
     /// Events for the control leader's next tick.
-    pub(crate) late: Vec<control::Event>,
+    pub(crate) leader_events: Vec<control::Event>,
     /// Since when no leader is known.
-    pub(crate) unled: Option<Instant>,
+    pub(crate) leaderless_since: Option<Instant>,
     /// When things happened that a leader must know the time of.
-    pub(crate) past: control::Leadership,
+    pub(crate) control_leadership: control::Leadership,
     /// Hosts that asked to be members, while this member leads.
     pub(crate) roster: Roster,
     /// Whether it has known no leader for some time.
-    pub(crate) asks: Arc<AtomicBool>,
+    pub(crate) wants_to_join: Arc<AtomicBool>,
 }
 
 impl Core {
@@ -102,8 +102,8 @@
         let mut tick = tokio::time::interval(quorum::TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut burst = Vec::with_capacity(BURST);
-        self.links.keep(self.replica.members());
-        while !self.is_over() {
+        self.links.update(self.replica.members());
+        while !self.is_drained() {
             tokio::select! {
                 count = inputs.recv_many(&mut burst, BURST) => {
                     if count == 0 {
@@ -113,25 +113,25 @@
                 _ = tick.tick() => self.tick(),
             }
             for input in burst.drain(..) {
-                if let Input::Broken(report) = input {
+                if let Input::DiskFailed(report) = input {
                     crit!(self.log, "the disk failed: the member ends"; "failure" => ?report);
                     return;
                 }
-                self.take(input);
-                self.settle();
+                self.on_input(input);
+                self.process_events();
             }
-            self.settle();
-            self.tell_followers();
-            self.pass_on();
+            self.process_events();
+            self.send_applied();
+            self.flush_forward();
         }
         info!(self.log, "ends as planned");
     }
 
-    fn is_over(&self) -> bool {
-        let Some(since) = self.stopping else { return false };
-        let late = self.now().since(since) >= STOP_TIMEOUT;
-        let handed_over = !self.part.leads || self.links.is_alone();
-        late || (handed_over && self.proposals.is_empty())
+    fn is_drained(&self) -> bool {
+        let Some(since) = self.stopping_since else { return false };
+        let timed_out = self.now().since(since) >= STOP_TIMEOUT;
+        let handed_over = !self.leadership.leads || self.links.is_alone();
+        timed_out || (handed_over && self.proposals.is_empty())
     }
 
     pub(crate) fn now(&self) -> Instant {
@@ -140,8 +140,8 @@
 
     fn tick(&mut self) {
         self.ticks += 1;
-        self.due.push_back(Event::Tick);
-        self.settle();
+        self.quorum_events.push_back(Event::Tick);
+        self.process_events();
         if self.ticks.is_multiple_of(CONTROL_TICKS) {
             self.tick_leader();
         }
@@ -149,35 +149,35 @@
             self.publish();
         }
         if self.ticks.is_multiple_of(TIDY_TICKS) {
-            self.tidy();
+            self.clean_up();
         }
         if self.ticks.is_multiple_of(ROSTER_TICKS) {
-            self.plan_members();
+            self.update_membership();
         }
-        self.refuse_unled();
+        self.refuse_if_leaderless();
     }
 
-    fn tidy(&mut self) {
+    fn clean_up(&mut self) {
         self.proposals.retain(|_, pending| !pending.is_closed());
-        self.seen.retain(|entry, _| self.state.entries.contains_key(entry.as_str()));
+        self.entry_indexes.retain(|entry, _| self.state.entries.contains_key(entry.as_str()));
         self.compact();
         self.meter.set(&self.replica, self.followers.len());
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
-            Input::Greeted { member, asks } => self.greet(&member, asks),
-            Input::Beacon(beacon) => self.hear_beacon(beacon),
-            Input::Message(message) => self.receive(message),
-            Input::Persisted(token) => self.due.push_back(Event::Persisted(token)),
-            Input::Bootstrap(members) => self.due.push_back(Event::Bootstrap(members)),
-            Input::Opened { follow, sender, reply } => self.open(follow, sender, reply),
-            Input::Beat { key, beat } => self.beat(key, beat),
-            Input::Symptom { key, symptom } => self.symptom(key, symptom),
-            Input::Seal { key, seal } => self.seal(key, seal),
-            Input::Left { key } => self.left(key),
+            Input::Hello { member, wants_to_join } => self.on_hello(&member, wants_to_join),
+            Input::Beacon(beacon) => self.on_beacon(beacon),
+            Input::Message(message) => self.on_message(message),
+            Input::Persisted(token) => self.quorum_events.push_back(Event::Persisted(token)),
+            Input::Bootstrap(members) => self.quorum_events.push_back(Event::Bootstrap(members)),
+            Input::Follow { follow, sender, reply } => self.open(follow, sender, reply),
+            Input::Heartbeat { key, beat } => self.on_heartbeat(key, beat),
+            Input::Symptom { key, symptom } => self.report_symptom(key, symptom),
+            Input::Seal { key, seal } => self.report_seal(key, seal),
+            Input::Leave { key } => self.report_leave(key),
             Input::Closed { key } => drop(self.followers.remove(key)),
-            Input::Probed(event) => self.lead(event),
+            Input::Probed(event) => self.notify_leader(event),
             Input::Announce { announce, reply } => self.announce(announce, reply),
             Input::Retire { server, reply } => self.retire(&server, reply),
             Input::Propose { command, reply } => self.propose(&command, reply),
@@ -185,26 +185,26 @@
             Input::Config { reply } => self.read(Read::Config(reply), None),
             Input::Status { reply } => drop(reply.send(self.status())),
             Input::Stop => self.stop(),
-            Input::Broken(_) => {}
+            Input::DiskFailed(_) => {}
         }
     }
 
-    fn receive(&mut self, message: Message) {
+    fn on_message(&mut self, message: Message) {
         if let Some(Body::Forward(forward)) = message.body {
-            self.hear(forward);
+            self.on_forward(forward);
             return;
         }
-        self.due.push_back(Event::Message(message));
+        self.quorum_events.push_back(Event::Message(message));
         self.fresh.store(self.replica.is_fresh(), Ordering::Release);
     }
 
-    fn greet(&mut self, member: &Member, asks: bool) {
-        self.links.greet(member);
-        if asks {
+    fn on_hello(&mut self, member: &Member, wants_to_join: bool) {
+        self.links.admit(member);
+        if wants_to_join {
             self.forward.newcomers.push(member.clone());
         }
         if let Some(beacons) = &mut self.beacons {
-            beacons.hear(member);
+            beacons.subscribe(member);
         }
     }
 
@@ -212,26 +212,26 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let sequence = since.unwrap_or_default().as_millis() as u64;
         let id = self.own.id;
-        let (index, term) = (self.state.index, self.part.term);
-        let leader = self.part.leader.unwrap_or(0);
+        let (index, term) = (self.state.index, self.leadership.term);
+        let leader = self.leadership.leader.unwrap_or(0);
         if let Some(beacons) = &self.beacons {
             beacons.publish(&Beacon { id, sequence, index, term, leader });
         }
     }
 
-    fn hear_beacon(&mut self, beacon: Beacon) {
-        let newest = self.heard.get(&beacon.id).map_or(0, |(known, _)| known.sequence);
+    fn on_beacon(&mut self, beacon: Beacon) {
+        let newest = self.beacons_received.get(&beacon.id).map_or(0, |(known, _)| known.sequence);
         let listed = self.name_of(beacon.id).is_some();
         if listed && beacon.sequence > newest {
             let now = self.now();
-            self.heard.insert(beacon.id, (beacon, now));
+            self.beacons_received.insert(beacon.id, (beacon, now));
         }
     }
 
     fn stop(&mut self) {
         self.health.set_ready(false);
-        self.stopping = Some(self.now());
-        self.due.push_back(Event::Transfer);
+        self.stopping_since = Some(self.now());
+        self.quorum_events.push_back(Event::Transfer);
         self.refuse_all();
     }
 }
--- a/components/member/src/disk.rs
+++ b/components/member/src/disk.rs
@@ -20,7 +20,7 @@
 
 /// A snapshot as the journal keeps it.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Kept {
+pub struct StoredSnapshot {
     /// Index of the last entry in it.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -45,10 +45,10 @@
 }
 
 /// Opens a data folder; a new one gets `drawn` as its id.
-pub(crate) fn open(path: &Path, drawn: u64) -> Result<Opened, Report<Failure>> {
+pub(crate) fn open(path: &Path, new_id: u64) -> Result<Opened, Report<Failure>> {
     let failure = || Failure::Data { path: path.to_owned() };
     let mut folder = Folder::open(path).change_context_lazy(failure)?;
-    let id = journal::identity(&mut folder, drawn).change_context_lazy(failure)?;
+    let id = journal::identity(&mut folder, new_id).change_context_lazy(failure)?;
     let (journal, recovered) = Journal::open(folder).change_context_lazy(failure)?;
     let cut_bytes = recovered.cut_bytes;
     let stored = read(recovered).change_context_lazy(failure)?;
@@ -72,10 +72,10 @@
 fn read(recovered: Recovered) -> Result<Stored, prost::DecodeError> {
     let hard = Hard { term: recovered.hard.term, vote: recovered.hard.vote };
     let mut snapshot = Snapshot::default();
-    if let Some(kept) = recovered.snapshot {
-        let kept = Kept::decode(kept.bytes.as_slice())?;
-        let members = kept.members.unwrap_or_default();
-        snapshot = Snapshot { index: kept.index, term: kept.term, members, data: kept.data };
+    if let Some(stored) = recovered.snapshot {
+        let stored = StoredSnapshot::decode(stored.bytes.as_slice())?;
+        let members = stored.members.unwrap_or_default();
+        snapshot = Snapshot { index: stored.index, term: stored.term, members, data: stored.data };
     }
     let entries = recovered.entries.iter().map(|entry| Entry::decode(entry.bytes.as_slice()));
     Ok(Stored { hard, snapshot, entries: entries.collect::<Result<_, _>>()? })
@@ -134,11 +134,11 @@
             return;
         }
         let written = batches.into_iter().try_for_each(|batch| journal.write(batch));
-        let told = match written {
+        let sent = match written {
             Ok(()) => core.blocking_send(Input::Persisted(token)),
-            Err(report) => core.blocking_send(Input::Broken(report)),
+            Err(report) => core.blocking_send(Input::DiskFailed(report)),
         };
-        if told.is_err() {
+        if sent.is_err() {
             return;
         }
     }
@@ -147,8 +147,8 @@
 fn batch(write: Write) -> Batch {
     let snapshot = write.snapshot.map(|snapshot| {
         let Snapshot { index, term, members, data } = snapshot;
-        let kept = Kept { index, term, members: Some(members), data };
-        journal::Snapshot { index, bytes: kept.encode_to_vec() }
+        let stored = StoredSnapshot { index, term, members: Some(members), data };
+        journal::Snapshot { index, bytes: stored.encode_to_vec() }
     });
     let entry = |entry: &Entry| journal::Entry { index: entry.index, bytes: entry.encode_to_vec() };
     Batch {
--- a/components/member/src/effects.rs
+++ b/components/member/src/effects.rs
@@ -9,13 +9,13 @@
 use wire::quorum::message::Body;
 
 use crate::core::Core;
-use crate::input::Verdict;
+use crate::input::Completion;
 
 impl Core {
     /// Lets the quorum take all events that are due.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn process_events(&mut self) {
         let mut effects = Vec::new();
-        while let Some(event) = self.due.pop_front() {
+        while let Some(event) = self.quorum_events.pop_front() {
             let now = self.now();
             self.replica.on(now, event, &mut effects);
             for effect in effects.drain(..) {
@@ -32,23 +32,23 @@
             Effect::Apply(entry) => self.apply(&entry),
             Effect::Restore(snapshot) => self.restore(&snapshot),
             Effect::Confirmed { token, index } => self.confirm(token, index),
-            Effect::Unconfirmed { token } => self.unconfirm(token),
-            Effect::Noted(note) => self.note(&note),
+            Effect::Unconfirmed { token } => self.reject_read(token),
+            Effect::Noted(note) => self.on_heartbeat_note(&note),
             Effect::Dropped { token, not_run } => {
-                self.resolve(token, Verdict::Dropped { not_run });
+                self.resolve(token, Completion::Dropped { not_run });
             }
-            Effect::Refused { token, refusal } => self.resolve(token, Verdict::Refused(refusal)),
+            Effect::Refused { token, refusal } => self.resolve(token, Completion::Refused(refusal)),
             Effect::Members(members) => {
                 self.fresh.store(self.replica.is_fresh(), Ordering::Release);
-                self.links.keep(&members);
-                self.tell_members();
+                self.links.update(&members);
+                self.broadcast_members();
                 let listed = |id| members.members.iter().any(|member| member.id == id);
-                self.heard.retain(|id, _| listed(*id));
+                self.beacons_received.retain(|id, _| listed(*id));
                 if let Some(beacons) = &mut self.beacons {
-                    beacons.keep(listed);
+                    beacons.retain(listed);
                 }
             }
-            Effect::Leadership(part) => self.play(part),
+            Effect::Leadership(leadership) => self.set_leadership(leadership),
         }
     }
 
@@ -61,22 +61,23 @@
             return;
         }
         if let Some(token) = proposal {
-            self.resolve(token, Verdict::Dropped { not_run: true });
+            self.resolve(token, Completion::Dropped { not_run: true });
         }
     }
 
-    fn play(&mut self, part: Leadership) {
-        info!(self.log, "plays a part"; "term" => part.term, "leads" => part.leads,
-            "leader" => part.leader.and_then(|id| self.name_of(id)));
-        let led = part.leader.is_some();
-        self.health.set_ready(led && self.stopping.is_none());
-        self.unled = if led { None } else { self.unled.or(Some(self.now())) };
-        if part.leads && !self.part.leads {
+    fn set_leadership(&mut self, leadership: Leadership) {
+        info!(self.log, "plays a part"; "term" => leadership.term, "leads" => leadership.leads,
+            "leader" => leadership.leader.and_then(|id| self.name_of(id)));
+        let has_leader = leadership.leader.is_some();
+        self.health.set_ready(has_leader && self.stopping_since.is_none());
+        self.leaderless_since =
+            if has_leader { None } else { self.leaderless_since.or(Some(self.now())) };
+        if leadership.leads && !self.leadership.leads {
             self.meter.elections.inc();
         }
         // it is made once an entry of its own term is applied
         self.leader = None;
-        self.part = part;
+        self.leadership = leadership;
     }
 
     /// Name of a member.
@@ -92,7 +93,7 @@
     }
 
     /// How long no leader has been known.
-    pub(crate) fn unled_for(&self) -> Duration {
-        self.unled.map_or(Duration::ZERO, |since| self.now().since(since))
+    pub(crate) fn leaderless_for(&self) -> Duration {
+        self.leaderless_since.map_or(Duration::ZERO, |since| self.now().since(since))
     }
 }
--- a/components/member/src/entry.rs
+++ b/components/member/src/entry.rs
@@ -6,9 +6,9 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::control::{Down, Up, down, up};
 
-use crate::follow::Follower;
+use crate::follower::Follower;
 use crate::input::{Input, Sender};
-use crate::link::End;
+use crate::link::Endpoint;
 
 /// Messages that may wait for one entry; a slower one is dropped and comes back.
 const QUEUE: usize = 512;
@@ -23,7 +23,7 @@
 pub(crate) async fn serve(
     mut reader: Reader,
     mut writer: Writer,
-    end: &End,
+    endpoint: &Endpoint,
     core: &Sender,
 ) -> Result<(), Report<Failure>> {
     let first = tokio::time::timeout(FOLLOW_TIMEOUT, reader.next::<Up>()).await;
@@ -32,14 +32,14 @@
         return Err(Report::new(Failure::Garbled));
     };
     let (sender, mut due) = mpsc::channel(QUEUE);
-    let (reply, opened) = oneshot::channel();
-    drop(core.send(Input::Opened { follow, sender, reply }).await);
-    let Ok(key) = opened.await else {
+    let (reply, follower) = oneshot::channel();
+    drop(core.send(Input::Follow { follow, sender, reply }).await);
+    let Ok(key) = follower.await else {
         return refuse(&mut writer).await;
     };
     let ended = tokio::select! {
-        ended = take(&mut reader, key, end, core) => ended,
-        ended = give(&mut writer, end, &mut due) => ended,
+        ended = receive(&mut reader, key, endpoint, core) => ended,
+        ended = send(&mut writer, endpoint, &mut due) => ended,
     };
     drop(core.send(Input::Closed { key }).await);
     ended
@@ -50,22 +50,22 @@
     writer.send(&Down { body: Some(refuse) }).await
 }
 
-async fn take(
+async fn receive(
     reader: &mut Reader,
     key: Key<Follower>,
-    end: &End,
+    endpoint: &Endpoint,
     core: &Sender,
 ) -> Result<(), Report<Failure>> {
     while let Some(up) = reader.next::<Up>().await? {
         let input = match up.body {
-            Some(up::Body::Beat(beat)) => Input::Beat { key, beat },
+            Some(up::Body::Beat(beat)) => Input::Heartbeat { key, beat },
             Some(up::Body::Symptom(symptom)) => Input::Symptom { key, symptom },
-            Some(up::Body::Leave(_)) => Input::Left { key },
+            Some(up::Body::Leave(_)) => Input::Leave { key },
             Some(up::Body::Seal(seal)) => Input::Seal { key, seal },
             Some(up::Body::Follow(_)) => return Err(Report::new(Failure::Garbled)),
             None => continue,
         };
-        if end.is_cut() {
+        if endpoint.is_isolated() {
             continue;
         }
         if core.send(input).await.is_err() {
@@ -75,15 +75,15 @@
     Ok(())
 }
 
-async fn give(
+async fn send(
     writer: &mut Writer,
-    end: &End,
+    endpoint: &Endpoint,
     due: &mut mpsc::Receiver<Down>,
 ) -> Result<(), Report<Failure>> {
     let mut burst = Vec::with_capacity(BURST);
     while due.recv_many(&mut burst, BURST).await > 0 {
         for down in burst.drain(..) {
-            if end.is_cut() {
+            if endpoint.is_isolated() {
                 // a gap would look like a broken member, so the link ends
                 return Err(Report::new(Failure::Cut));
             }
--- a/components/member/src/follow.rs
+++ b/components/member/src/follower.rs
@@ -11,23 +11,23 @@
 use wire::log::{Command, Join, Part};
 use wire::quorum::{Pulse, Sealed, Seen};
 
-use crate::answer::Read;
 use crate::core::Core;
+use crate::pending::Read;
 
 /// Piece of an image in bytes.
-const PIECE_BYTES: usize = 256 << 10;
+const CHUNK_BYTES: usize = 256 << 10;
 
 /// Commands in one message.
-const BATCH: usize = 256;
+const BATCH_COMMANDS: usize = 256;
 
 /// Commands that an entry may lack and still be sent them one by one.
-const CATCH_UP: u64 = 4_096;
+const MAX_CATCH_UP_COMMANDS: u64 = 4_096;
 
 /// Time without a leader after which entries are sent to other members.
-const UNLED_TIMEOUT: Duration = Duration::from_millis(700);
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Leases given up that wait to be told to the leader, for one entry.
-const KEPT: usize = 16;
+const MAX_RETURNED_PULSES: usize = 16;
 
 /// An entry that follows.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
         sender: mpsc::Sender<Down>,
         reply: oneshot::Sender<Key<Follower>>,
     ) {
-        let Some(join) = follow.join.filter(|_| self.stopping.is_none()) else { return };
+        let Some(join) = follow.join.filter(|_| self.stopping_since.is_none()) else { return };
         let next = follow.applied + 1;
         let follower = Follower {
             join: join.clone(),
@@ -67,23 +67,23 @@
             drop(self.followers.remove(key));
             return;
         }
-        self.give_members(key);
+        self.send_members(key);
         self.catch_up(key);
-        self.lead(control::Event::Joined(join));
+        self.notify_leader(control::Event::Joined(join));
     }
 
     /// Tells a follower where the members listen.
-    fn give_members(&mut self, key: Key<Follower>) {
+    fn send_members(&mut self, key: Key<Follower>) {
         let members = &self.replica.members().members;
         let links = members.iter().map(|member| member.link.clone()).collect();
-        self.give(key, Down { body: Some(down::Body::Members(Members { links })) });
+        self.enqueue(key, Down { body: Some(down::Body::Members(Members { links })) });
     }
 
     /// Tells all followers where the members listen now.
-    pub(crate) fn tell_members(&mut self) {
+    pub(crate) fn broadcast_members(&mut self) {
         let keys: Vec<_> = self.followers.iter().map(|(key, _)| key).collect();
         for key in keys {
-            self.give_members(key);
+            self.send_members(key);
         }
     }
 
@@ -96,34 +96,37 @@
             return;
         }
         follower.next = applied + 1;
-        let entries = if applied - known <= CATCH_UP {
+        let entries = if applied - known <= MAX_CATCH_UP_COMMANDS {
             self.replica.entries_after(known).map(|entries| {
-                entries.filter(|entry| entry.index <= applied).map(told).collect::<Vec<_>>()
+                entries
+                    .filter(|entry| entry.index <= applied)
+                    .map(entry_message)
+                    .collect::<Vec<_>>()
             })
         } else {
             None
         };
         match entries {
             Some(entries) => {
-                for batch in entries.chunks(BATCH) {
+                for batch in entries.chunks(BATCH_COMMANDS) {
                     let entries = Entries { entries: batch.to_vec() };
-                    self.give(key, Down { body: Some(down::Body::Entries(entries)) });
+                    self.enqueue(key, Down { body: Some(down::Body::Entries(entries)) });
                 }
             }
-            None => self.give_image(key),
+            None => self.send_image(key),
         }
     }
 
-    fn give_image(&mut self, key: Key<Follower>) {
+    fn send_image(&mut self, key: Key<Follower>) {
         let index = self.state.index;
         let state = self.image();
         let length = state.len() as u64;
         let mut offset = 0;
         while offset < state.len() {
-            let end = (offset + PIECE_BYTES).min(state.len());
+            let end = (offset + CHUNK_BYTES).min(state.len());
             let bytes = state.slice(offset..end);
             let image = Image { index, offset: offset as u64, length, bytes };
-            self.give(key, Down { body: Some(down::Body::Image(image)) });
+            self.enqueue(key, Down { body: Some(down::Body::Image(image)) });
             offset = end;
         }
     }
@@ -142,16 +145,16 @@
     }
 
     /// Queues a message for a follower; one that is too slow is dropped.
-    pub(crate) fn give(&mut self, key: Key<Follower>, down: Down) {
+    pub(crate) fn enqueue(&mut self, key: Key<Follower>, down: Down) {
         let Some(follower) = self.followers.get(key) else { return };
         if follower.sender.try_send(down).is_err() {
             drop(self.followers.remove(key));
-            self.meter.slow.inc();
+            self.meter.followers_dropped.inc();
         }
     }
 
     /// Sends followers what was applied since the last call.
-    pub(crate) fn tell_followers(&mut self) {
+    pub(crate) fn send_applied(&mut self) {
         let applied = std::mem::take(&mut self.applied);
         let Some(last) = applied.last().map(|entry| entry.index) else { return };
         let keys: Vec<_> = self.followers.iter().map(|(key, _)| key).collect();
@@ -161,9 +164,9 @@
             follower.next = next.max(last + 1);
             let lacking = applied.iter().filter(|entry| entry.index >= next).cloned();
             let entries: Vec<_> = lacking.collect();
-            for batch in entries.chunks(BATCH) {
+            for batch in entries.chunks(BATCH_COMMANDS) {
                 let entries = Entries { entries: batch.to_vec() };
-                self.give(key, Down { body: Some(down::Body::Entries(entries)) });
+                self.enqueue(key, Down { body: Some(down::Body::Entries(entries)) });
             }
         }
     }
@@ -178,7 +181,7 @@
 
     /// A beat is confirmed by a read that begins now; the leader hears of it
     /// in the same message.
-    pub(crate) fn beat(&mut self, key: Key<Follower>, beat: Beat) {
+    pub(crate) fn on_heartbeat(&mut self, key: Key<Follower>, beat: Beat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         let returned = std::mem::take(&mut follower.returned);
         let pulse = Pulse {
@@ -188,26 +191,26 @@
             symptoms: follower.symptoms.clone(),
             seals: follower.seals.clone(),
         };
-        self.seen.insert(follower.join.entry.clone(), beat.applied);
+        self.entry_indexes.insert(follower.join.entry.clone(), beat.applied);
         for pulse in returned {
             let note = pulse.encode_to_vec().into();
-            self.read(Read::Returned { key, pulse }, Some(note));
+            self.read(Read::ReturnedLeases { key, pulse }, Some(note));
         }
         let note = pulse.encode_to_vec().into();
-        self.read(Read::Beat { key, sequence: beat.sequence, pulse }, Some(note));
+        self.read(Read::Heartbeat { key, sequence: beat.sequence, pulse }, Some(note));
     }
 
     /// Keeps leases given up for the next beat. They go with the index that
     /// the entry had applied then.
-    pub(crate) fn keep_returned(&mut self, key: Key<Follower>, pulse: Pulse) {
+    pub(crate) fn retain_returned(&mut self, key: Key<Follower>, pulse: Pulse) {
         let Some(follower) = self.followers.get_mut(key) else { return };
-        if !pulse.returned.is_empty() && follower.returned.len() < KEPT {
+        if !pulse.returned.is_empty() && follower.returned.len() < MAX_RETURNED_PULSES {
             follower.returned.push(Pulse { symptoms: Vec::new(), ..pulse });
         }
     }
 
     /// What a keeper sees goes to the leader at once, and with each beat.
-    pub(crate) fn symptom(&mut self, key: Key<Follower>, symptom: Symptom) {
+    pub(crate) fn report_symptom(&mut self, key: Key<Follower>, symptom: Symptom) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         follower.symptoms.retain(|known| known.group != symptom.group);
         if symptom.sight() != Sight::Healthy {
@@ -218,7 +221,7 @@
     }
 
     /// A keeper's seal goes to the leader at once, and with each beat.
-    pub(crate) fn seal(&mut self, key: Key<Follower>, seal: Seal) {
+    pub(crate) fn report_seal(&mut self, key: Key<Follower>, seal: Seal) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         follower.seals.retain(|known| known.group != seal.group);
         follower.seals.push(seal.clone());
@@ -228,15 +231,15 @@
     }
 
     /// An entry stopped.
-    pub(crate) fn left(&mut self, key: Key<Follower>) {
+    pub(crate) fn report_leave(&mut self, key: Key<Follower>) {
         let Some(follower) = self.followers.get(key) else { return };
         let (entry, incarnation) = (follower.join.entry.clone(), follower.join.incarnation);
         self.forward.leaves.push(Part { entry, incarnation, over: true });
     }
 
     /// Sends entries elsewhere when this member has lost its leader.
-    pub(crate) fn refuse_unled(&mut self) {
-        if !self.followers.is_empty() && self.unled_for() >= UNLED_TIMEOUT {
+    pub(crate) fn refuse_if_leaderless(&mut self) {
+        if !self.followers.is_empty() && self.leaderless_for() >= LEADERLESS_TIMEOUT {
             self.refuse_all();
         }
     }
@@ -245,13 +248,13 @@
     pub(crate) fn refuse_all(&mut self) {
         let keys: Vec<_> = self.followers.iter().map(|(key, _)| key).collect();
         for key in keys {
-            self.give(key, Down { body: Some(down::Body::Refuse(Refuse {})) });
+            self.enqueue(key, Down { body: Some(down::Body::Refuse(Refuse {})) });
             drop(self.followers.remove(key));
         }
     }
 }
 
-fn told(entry: &wire::quorum::Entry) -> wire::control::Entry {
+fn entry_message(entry: &wire::quorum::Entry) -> wire::control::Entry {
     let command = match &entry.body {
         Some(wire::quorum::entry::Body::Command(bytes)) => {
             Command::decode(bytes.clone()).ok().map(without_document)
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -29,7 +29,7 @@
 use crate::peers::Links;
 use crate::probe::Probes;
 use crate::roster::{self, Roster};
-use crate::{boot, join, link, web};
+use crate::{bootstrap, join, link, web};
 
 /// Longest time that a planned stop tries to hand over leadership.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(3);
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub enum Origin {
     /// The first membership, itself included.
-    Named(Vec<Peer>),
+    Peers(Vec<Peer>),
     /// Addresses at which members may be found.
     Seeds(Seeds),
 }
@@ -82,7 +82,7 @@
 
 impl From<Vec<Peer>> for Origin {
     fn from(peers: Vec<Peer>) -> Self {
-        Self::Named(peers)
+        Self::Peers(peers)
     }
 }
 
@@ -213,21 +213,21 @@
         let now = settings.clock.now();
         let seed = settings.seed ^ draw_id();
         let tolerance = match &origin {
-            Origin::Named(_) => None,
+            Origin::Peers(_) => None,
             Origin::Seeds(seeds) => Some(seeds.tolerance),
         };
         let voters = tolerance.map_or(usize::MAX, roster::voters);
         let quorum = quorum::Settings { max_voters: voters, ..quorum::Settings::new(own.id, seed) };
         let replica = Replica::new(now, quorum, opened.stored);
         let fresh = Arc::new(AtomicBool::new(replica.is_fresh()));
-        let cut = Arc::new(AtomicBool::new(false));
-        let asks = Arc::new(AtomicBool::new(replica.is_fresh()));
-        let end = link::End {
+        let isolated = Arc::new(AtomicBool::new(false));
+        let wants_to_join = Arc::new(AtomicBool::new(replica.is_fresh()));
+        let endpoint = link::Endpoint {
             own: own.clone(),
             key: settings.key.clone(),
             fresh: Arc::clone(&fresh),
-            asks: Arc::clone(&asks),
-            cut: Arc::clone(&cut),
+            wants_to_join: Arc::clone(&wants_to_join),
+            isolated: Arc::clone(&isolated),
             log: log.clone(),
         };
         let (meter, metrics) = Meter::new();
@@ -237,15 +237,15 @@
             let received = beacons.receive(core.clone(), scope.token.clone());
             received.change_context_lazy(failure)?;
         }
-        scope.spawn(link::serve(listener, end.clone(), core.clone(), scope.clone()));
+        scope.spawn(link::serve(listener, endpoint.clone(), core.clone(), scope.clone()));
         match origin {
-            Origin::Named(peers) if replica.is_fresh() => {
-                scope.spawn(boot::find(peers, end.clone(), core.clone()));
+            Origin::Peers(peers) if replica.is_fresh() => {
+                scope.spawn(bootstrap::find(peers, endpoint.clone(), core.clone()));
             }
-            Origin::Named(_) => {}
-            Origin::Seeds(seeds) => scope.spawn(join::run(seeds, end.clone(), core.clone())),
+            Origin::Peers(_) => {}
+            Origin::Seeds(seeds) => scope.spawn(join::run(seeds, endpoint.clone(), core.clone())),
         }
-        let routes = web::routes(Api::new(core.clone()), end.clone())
+        let routes = web::routes(Api::new(core.clone()), endpoint.clone())
             .merge(telemetry::web::routes(health.clone(), metrics))
             .merge(extra);
         let stopped = scope.token.clone().cancelled_owned();
@@ -258,12 +258,12 @@
             fresh,
             replica,
             state,
-            part: quorum::Leadership::default(),
+            leadership: quorum::Leadership::default(),
             leader: None,
             writes: disk.writes(),
-            links: Links::new(end, scope.clone()),
+            links: Links::new(endpoint, scope.clone()),
             beacons,
-            heard: BTreeMap::new(),
+            beacons_received: BTreeMap::new(),
             probes: Probes::new(core.clone(), scope.clone(), settings.name, settings.outside),
             followers: Arena::new(),
             applied: Vec::new(),
@@ -274,30 +274,30 @@
             token: draw_id() >> 1,
             forward: wire::quorum::Forward::default(),
             failovers: std::collections::VecDeque::new(),
-            seen: BTreeMap::new(),
+            entry_indexes: BTreeMap::new(),
             health,
             meter,
-            stopping: None,
+            stopping_since: None,
             ticks: 0,
-            due: std::collections::VecDeque::new(),
-            late: Vec::new(),
-            unled: Some(now),
-            past: control::Leadership { token: 0, last_chosen: Some(now) },
+            quorum_events: std::collections::VecDeque::new(),
+            leader_events: Vec::new(),
+            leaderless_since: Some(now),
+            control_leadership: control::Leadership { token: 0, last_chosen: Some(now) },
             roster: Roster::new(tolerance),
-            asks,
+            wants_to_join,
         };
         let ended = scope.token.clone();
         scope.spawn(async move {
             core_task.run(inputs).await;
             ended.cancel();
         });
-        Ok(Handle { core, scope, disk, addresses, cut })
+        Ok(Handle { core, scope, disk, addresses, isolated })
     }
 }
 
 fn own(settings: &Settings, addresses: Addresses, origin: &Origin, id: u64) -> Member {
     let peers = match origin {
-        Origin::Named(peers) => peers.as_slice(),
+        Origin::Peers(peers) => peers.as_slice(),
         Origin::Seeds(_) => &[],
     };
     let listed = peers.iter().find(|peer| peer.name == settings.name);
@@ -336,7 +336,7 @@
     scope: Scope,
     disk: Disk,
     addresses: Addresses,
-    cut: Arc<AtomicBool>,
+    isolated: Arc<AtomicBool>,
 }
 
 impl Handle {
@@ -351,8 +351,8 @@
     }
 
     /// Cuts the member off from members and entries, in silence, or ends that.
-    pub fn isolate(&self, cut: bool) {
-        self.cut.store(cut, std::sync::atomic::Ordering::Release);
+    pub fn isolate(&self, isolated: bool) {
+        self.isolated.store(isolated, std::sync::atomic::Ordering::Release);
     }
 
     /// A planned stop: hands leadership over, finishes answers, ends.
--- a/components/member/src/join.rs
+++ b/components/member/src/join.rs
@@ -15,26 +15,26 @@
 
 use crate::host::Seeds;
 use crate::input::{Input, Sender};
-use crate::link::End;
+use crate::link::Endpoint;
 use crate::peers;
 
 /// Wait between two rounds while there is something to do.
-const PAUSE: Duration = Duration::from_millis(150);
+const DIAL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Wait between two looks at whether there is.
-const IDLE_PAUSE: Duration = Duration::from_millis(500);
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs as long as the member does.
-pub(crate) async fn run(seeds: Seeds, end: End, core: Sender) {
-    if seeds.founding && end.fresh.load(Ordering::Acquire) {
-        found(&seeds, &end, &core).await;
+pub(crate) async fn run(seeds: Seeds, endpoint: Endpoint, core: Sender) {
+    if seeds.founding && endpoint.fresh.load(Ordering::Acquire) {
+        bootstrap(&seeds, &endpoint, &core).await;
     }
     loop {
-        let asks = end.asks.load(Ordering::Acquire);
-        if asks {
-            ask(&seeds, &end).await;
+        let wants_to_join = endpoint.wants_to_join.load(Ordering::Acquire);
+        if wants_to_join {
+            dial_seeds(&seeds, &endpoint).await;
         }
-        tokio::time::sleep(if asks { PAUSE } else { IDLE_PAUSE }).await;
+        tokio::time::sleep(if wants_to_join { DIAL_INTERVAL } else { IDLE_INTERVAL }).await;
     }
 }
 
@@ -45,18 +45,18 @@
 }
 
 /// Founds the first membership, if that is this member's task.
-async fn found(seeds: &Seeds, end: &End, core: &Sender) {
-    let own: Option<SocketAddr> = end.own.link.parse().ok();
+async fn bootstrap(seeds: &Seeds, endpoint: &Endpoint, core: &Sender) {
+    let own: Option<SocketAddr> = endpoint.own.link.parse().ok();
     let Some(own) = own.filter(|own| seeds.links.borrow().contains(own)) else { return };
-    while end.fresh.load(Ordering::Acquire) {
-        match survey(seeds, end, own).await {
-            Survey::Incomplete => tokio::time::sleep(PAUSE).await,
+    while endpoint.fresh.load(Ordering::Acquire) {
+        match survey(seeds, endpoint, own).await {
+            Survey::Incomplete => tokio::time::sleep(DIAL_INTERVAL).await,
             Survey::Held { link } => {
-                info!(end.log, "another member holds a log: asks to join"; "link" => %link);
+                info!(endpoint.log, "another member holds a log: asks to join"; "link" => %link);
                 return;
             }
             Survey::Fresh { first, members } if first == own => {
-                info!(end.log, "names the first membership"; "members" => members.len());
+                info!(endpoint.log, "names the first membership"; "members" => members.len());
                 drop(core.send(Input::Bootstrap(Members { members })).await);
                 return;
             }
@@ -76,11 +76,11 @@
 }
 
 /// Asks all other seeds. A host without a disk stands by and is no member.
-async fn survey(seeds: &Seeds, end: &End, own: SocketAddr) -> Survey {
-    let mut members = vec![Member { voter: true, ..end.own.clone() }];
+async fn survey(seeds: &Seeds, endpoint: &Endpoint, own: SocketAddr) -> Survey {
+    let mut members = vec![Member { voter: true, ..endpoint.own.clone() }];
     let mut first = own;
     for link in others(seeds, Some(own)) {
-        let Ok((hello, _, _)) = peers::greet(link, end).await else {
+        let Ok((hello, _, _)) = peers::exchange_hello(link, endpoint).await else {
             return Survey::Incomplete;
         };
         if !hello.fresh {
@@ -95,8 +95,8 @@
 }
 
 /// Dials the seeds, so that the leader hears of this member.
-async fn ask(seeds: &Seeds, end: &End) {
-    let own = end.own.link.parse().ok();
-    let greet = |link| async move { drop(peers::greet(link, end).await) };
-    futures::future::join_all(others(seeds, own).into_iter().map(greet)).await;
+async fn dial_seeds(seeds: &Seeds, endpoint: &Endpoint) {
+    let own = endpoint.own.link.parse().ok();
+    let dial = |link| async move { drop(peers::exchange_hello(link, endpoint).await) };
+    futures::future::join_all(others(seeds, own).into_iter().map(dial)).await;
 }
--- a/components/member/src/lead.rs
+++ b/components/member/src/leader.rs
@@ -10,13 +10,13 @@
 use wire::quorum::message::Body;
 use wire::quorum::{Forward, Message, Pulse, Sealed, Seen};
 
-use crate::answer::{Designation, Read};
 use crate::core::Core;
-use crate::input::Unled;
+use crate::input::NoLeader;
+use crate::pending::{Designation, Read};
 
 impl Core {
     /// Lets the control leader take an event, if this member leads.
-    pub(crate) fn lead(&mut self, event: Event) {
+    pub(crate) fn notify_leader(&mut self, event: Event) {
         let now = self.now();
         let Some(leader) = &mut self.leader else { return };
         let mut effects = Vec::new();
@@ -26,15 +26,16 @@
                 Effect::Propose(command) => {
                     let token = self.next_token();
                     let command = command.encode_to_vec().into();
-                    self.due.push_back(quorum::Event::Propose { token, command });
+                    self.quorum_events.push_back(quorum::Event::Propose { token, command });
                 }
                 Effect::Probe { group, server, address, ask: ask @ Ask::Designate { .. } } => {
                     let designation = Designation { group, server, address, ask };
                     self.read(Read::Designate(designation), None);
                 }
                 Effect::Probe { group, server, address, ask } => {
-                    let solo = self.state.acknowledges(group.as_str());
-                    self.late.extend(self.probes.ask(group, server, address, ask, solo));
+                    let unfenced = self.state.acknowledges(group.as_str());
+                    self.leader_events
+                        .extend(self.probes.ask(group, server, address, ask, unfenced));
                 }
             }
         }
@@ -47,44 +48,44 @@
         }
         let Designation { group, server, address, ask } = designation;
         info!(self.log, "designates a primary"; "group" => %group, "server" => %server,
-            "term" => self.part.term);
-        self.late.extend(self.probes.ask(group, server, address, ask, true));
+            "term" => self.leadership.term);
+        self.leader_events.extend(self.probes.ask(group, server, address, ask, true));
     }
 
     /// One tick of the control leader.
     pub(crate) fn tick_leader(&mut self) {
-        for event in std::mem::take(&mut self.late) {
-            self.lead(event);
+        for event in std::mem::take(&mut self.leader_events) {
+            self.notify_leader(event);
         }
-        self.lead(Event::Tick);
+        self.notify_leader(Event::Tick);
     }
 
     /// A backend server announced itself here.
     pub(crate) fn announce(
         &mut self,
         announce: Announce,
-        reply: oneshot::Sender<Result<(), Unled>>,
+        reply: oneshot::Sender<Result<(), NoLeader>>,
     ) {
-        let led = self.part.leader.is_some();
-        if led {
+        let has_leader = self.leadership.leader.is_some();
+        if has_leader {
             self.forward.announces.push(announce);
         }
-        drop(reply.send(if led { Ok(()) } else { Err(Unled) }));
+        drop(reply.send(if has_leader { Ok(()) } else { Err(NoLeader) }));
     }
 
     /// Passes on to the leader what waits for it.
-    pub(crate) fn pass_on(&mut self) {
+    pub(crate) fn flush_forward(&mut self) {
         if self.forward == Forward::default() {
             return;
         }
         let forward = std::mem::take(&mut self.forward);
-        match self.part.leader {
+        match self.leadership.leader {
             Some(leader) if leader == self.own.id => {
-                self.hear(forward);
-                self.settle();
+                self.on_forward(forward);
+                self.process_events();
             }
             Some(to) => {
-                let (from, term) = (self.own.id, self.part.term);
+                let (from, term) = (self.own.id, self.leadership.term);
                 let body = Some(Body::Forward(forward));
                 // each part is told again by its source
                 let _sent = self.links.send(Message { from, to, term, body });
@@ -94,64 +95,64 @@
     }
 
     /// What a member passed on.
-    pub(crate) fn hear(&mut self, forward: Forward) {
+    pub(crate) fn on_forward(&mut self, forward: Forward) {
         for announce in forward.announces {
-            self.lead(Event::Announced(announce));
+            self.notify_leader(Event::Announced(announce));
         }
         for Part { entry, incarnation, .. } in forward.leaves {
             if let Ok(entry) = Name::new(&entry) {
-                self.lead(Event::Left { entry, incarnation });
+                self.notify_leader(Event::Left { entry, incarnation });
             }
         }
         for Seen { entry, symptom } in forward.sights {
-            self.see(&entry, symptom);
+            self.on_symptom(&entry, symptom);
         }
         for Sealed { entry, incarnation, seal } in forward.seals {
-            self.sealed(&entry, incarnation, seal);
+            self.on_seal(&entry, incarnation, seal);
         }
         for member in forward.newcomers {
-            self.newcomer(member);
+            self.on_join_request(member);
         }
     }
 
     /// A beat that came to any member, before it is confirmed.
-    pub(crate) fn note(&mut self, note: &[u8]) {
+    pub(crate) fn on_heartbeat_note(&mut self, note: &[u8]) {
         let Ok(Pulse { join: Some(join), applied, returned, symptoms, seals }) =
             Pulse::decode(note)
         else {
             return;
         };
         let Ok(entry) = Name::new(&join.entry) else { return };
-        self.seen.insert(join.entry.clone(), applied);
+        self.entry_indexes.insert(join.entry.clone(), applied);
         let incarnation = join.incarnation;
-        if self.lacks(&entry, &join) {
-            self.lead(Event::Joined(join));
+        if self.is_new(&entry, &join) {
+            self.notify_leader(Event::Joined(join));
         }
         let returned = returned.iter().filter_map(|group| Name::new(group).ok()).collect();
         let name = entry.to_string();
-        self.lead(Event::Beat { entry, incarnation, applied, returned });
+        self.notify_leader(Event::Beat { entry, incarnation, applied, returned });
         for symptom in symptoms {
-            self.see(&name, Some(symptom));
+            self.on_symptom(&name, Some(symptom));
         }
         for seal in seals {
-            self.sealed(&name, incarnation, Some(seal));
+            self.on_seal(&name, incarnation, Some(seal));
         }
     }
 
-    fn sealed(&mut self, entry: &str, incarnation: u64, seal: Option<Seal>) {
+    fn on_seal(&mut self, entry: &str, incarnation: u64, seal: Option<Seal>) {
         if let (Ok(entry), Some(seal)) = (Name::new(entry), seal) {
-            self.lead(Event::Sealed { entry, incarnation, seal });
+            self.notify_leader(Event::Sealed { entry, incarnation, seal });
         }
     }
 
-    fn lacks(&self, entry: &Name, join: &Join) -> bool {
+    fn is_new(&self, entry: &Name, join: &Join) -> bool {
         let known = self.state.entries.get(entry);
         known.is_none_or(|known| known.incarnation < join.incarnation)
     }
 
-    fn see(&mut self, entry: &str, symptom: Option<wire::control::Symptom>) {
+    fn on_symptom(&mut self, entry: &str, symptom: Option<wire::control::Symptom>) {
         if let (Ok(entry), Some(symptom)) = (Name::new(entry), symptom) {
-            self.lead(Event::Symptom { entry, symptom });
+            self.notify_leader(Event::Symptom { entry, symptom });
         }
     }
 }
--- a/components/member/src/lib.rs
+++ b/components/member/src/lib.rs
@@ -11,30 +11,30 @@
 //! - `beacon`: how far each member is, published over nng.
 //! - `web`, `status`, `meter`: HTTP, what it shows, and metrics.
 
-mod answer;
 pub mod api;
 mod apply;
 mod beacon;
-mod boot;
+mod bootstrap;
 mod core;
 mod disk;
 mod effects;
 mod entry;
 mod event;
-mod follow;
+mod follower;
 pub mod host;
 mod input;
 mod join;
-mod lead;
+mod leader;
 mod link;
 mod meter;
 mod peers;
+mod pending;
 mod probe;
 pub mod roster;
 pub mod standby;
 mod status;
 mod web;
 
-pub use api::{Api, Edition, Lost, Replaced};
-pub use disk::{Kept, inspect};
+pub use api::{Api, Edition, Replaced, RequestError};
+pub use disk::{StoredSnapshot, inspect};
 pub use host::{Addresses, Bound, Failure, Handle, Origin, Peer, Seeds, Settings, bind};
--- a/components/member/src/link.rs
+++ b/components/member/src/link.rs
@@ -18,92 +18,93 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Least time between two words that messages come.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(200);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
 
 /// This member's end of its links.
 #[derive(Clone, Debug)]
-pub(crate) struct End {
+pub(crate) struct Endpoint {
     pub(crate) own: Member,
     pub(crate) key: Key,
     pub(crate) fresh: Arc<AtomicBool>,
     /// Whether it has known no leader for some time and asks to be a member.
-    pub(crate) asks: Arc<AtomicBool>,
+    pub(crate) wants_to_join: Arc<AtomicBool>,
     /// Whether the member is cut off from all others, for tests of that.
-    pub(crate) cut: Arc<AtomicBool>,
+    pub(crate) isolated: Arc<AtomicBool>,
     pub(crate) log: Logger,
 }
 
-impl End {
+impl Endpoint {
     /// How it names itself.
     pub(crate) fn peer(&self, purpose: Purpose) -> Peer {
         Peer::new(&self.own.name, self.own.id, purpose)
     }
 
-    pub(crate) fn is_cut(&self) -> bool {
-        self.cut.load(Ordering::Acquire)
+    pub(crate) fn is_isolated(&self) -> bool {
+        self.isolated.load(Ordering::Acquire)
     }
 
     pub(crate) fn hello(&self) -> Hello {
-        let (fresh, asks) = (self.fresh.load(Ordering::Acquire), self.asks.load(Ordering::Acquire));
+        let (fresh, asks) =
+            (self.fresh.load(Ordering::Acquire), self.wants_to_join.load(Ordering::Acquire));
         Hello { member: Some(self.own.clone()), fresh, asks, confirms: true }
     }
 }
 
 /// Accepts links until the scope ends.
-pub(crate) async fn serve(listener: TcpListener, end: End, core: Sender, scope: Scope) {
+pub(crate) async fn serve(listener: TcpListener, endpoint: Endpoint, core: Sender, scope: Scope) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => scope.spawn(take(stream, end.clone(), core.clone())),
+            Ok((stream, _)) => scope.spawn(accept(stream, endpoint.clone(), core.clone())),
             Err(error) => {
-                warn!(end.log, "could not accept a link"; "error" => %error);
+                warn!(endpoint.log, "could not accept a link"; "error" => %error);
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-async fn take(stream: TcpStream, end: End, core: Sender) {
-    if end.is_cut() {
+async fn accept(stream: TcpStream, endpoint: Endpoint, core: Sender) {
+    if endpoint.is_isolated() {
         return;
     }
-    let accepted = ::link::accept(stream, &end.peer(Purpose::Quorum), &end.key).await;
+    let accepted = ::link::accept(stream, &endpoint.peer(Purpose::Quorum), &endpoint.key).await;
     let (peer, reader, writer) = match accepted {
         Ok(accepted) => accepted,
         Err(report) => {
-            debug!(end.log, "refused a link"; "failure" => %report);
+            debug!(endpoint.log, "refused a link"; "failure" => %report);
             return;
         }
     };
     let ended = match peer.purpose() {
-        Purpose::Quorum => member(reader, writer, &end, &core).await,
-        Purpose::Control => entry::serve(reader, writer, &end, &core).await,
+        Purpose::Quorum => serve_member(reader, writer, &endpoint, &core).await,
+        Purpose::Control => entry::serve(reader, writer, &endpoint, &core).await,
         Purpose::Data | Purpose::Other => Ok(()),
     };
     if let Err(report) = ended {
-        debug!(end.log, "a link ended"; "peer" => peer.name, "failure" => %report);
+        debug!(endpoint.log, "a link ended"; "peer" => peer.name, "failure" => %report);
     }
 }
 
 /// Takes messages of another member.
-async fn member(
+async fn serve_member(
     mut reader: Reader,
     mut writer: Writer,
-    end: &End,
+    endpoint: &Endpoint,
     core: &Sender,
 ) -> Result<(), Report<Failure>> {
     let hello: Hello = reader.next().await?.ok_or(Failure::Cut)?;
-    writer.send(&end.hello()).await?;
+    writer.send(&endpoint.hello()).await?;
     let Some(member) = hello.member else { return Err(Report::new(Failure::Garbled)) };
     let id = member.id;
-    drop(core.send(Input::Greeted { member, asks: hello.asks }).await);
-    let mut confirmed = Instant::now();
-    let mut owed = false;
+    drop(core.send(Input::Hello { member, wants_to_join: hello.asks }).await);
+    let mut last_confirm = Instant::now();
+    let mut unconfirmed = false;
     loop {
         let message = tokio::select! {
             message = reader.next::<Message>() => message?,
-            () = sleep_until(confirmed + CONFIRM_PAUSE), if owed => {
+            () = sleep_until(last_confirm + CONFIRM_INTERVAL), if unconfirmed => {
                 writer.send(&Hello::default()).await?;
-                (confirmed, owed) = (Instant::now(), false);
+                (last_confirm, unconfirmed) = (Instant::now(), false);
                 continue;
             }
         };
@@ -111,10 +112,10 @@
         if message.from != id {
             return Err(Report::new(Failure::Garbled));
         }
-        if end.is_cut() {
+        if endpoint.is_isolated() {
             continue;
         }
-        owed = true;
+        unconfirmed = true;
         if core.send(Input::Message(message)).await.is_err() {
             return Ok(());
         }
--- a/components/member/src/meter.rs
+++ b/components/member/src/meter.rs
@@ -14,8 +14,8 @@
 pub(crate) struct Meter {
     pub(crate) elections: Counter,
     pub(crate) applied: Counter,
-    pub(crate) confirmed: Counter,
-    pub(crate) slow: Counter,
+    pub(crate) heartbeats_confirmed: Counter,
+    pub(crate) followers_dropped: Counter,
     term: Gauge<u64, AtomicU64>,
     commit: Gauge<u64, AtomicU64>,
     leads: Gauge<u64, AtomicU64>,
@@ -32,8 +32,16 @@
         };
         counter("elections", "Elections that this member won", &meter.elections);
         counter("applied", "Entries of the log that were applied", &meter.applied);
-        counter("beats_confirmed", "Beats of entries that were confirmed", &meter.confirmed);
-        counter("followers_dropped", "Entries dropped because they were slow", &meter.slow);
+        counter(
+            "beats_confirmed",
+            "Beats of entries that were confirmed",
+            &meter.heartbeats_confirmed,
+        );
+        counter(
+            "followers_dropped",
+            "Entries dropped because they were slow",
+            &meter.followers_dropped,
+        );
         let mut gauge = |name: &str, help: &str, gauge: &Gauge<u64, AtomicU64>| {
             registry.register(name, help, gauge.clone());
         };
@@ -46,10 +54,10 @@
 
     /// Sets the gauges.
     pub(crate) fn set(&self, replica: &Replica, followers: usize) {
-        let part = replica.leadership();
-        self.term.set(part.term);
+        let leadership = replica.leadership();
+        self.term.set(leadership.term);
         self.commit.set(replica.commit());
-        self.leads.set(u64::from(part.leads));
+        self.leads.set(u64::from(leadership.leads));
         self.followers.set(followers as u64);
     }
 }
--- a/components/member/src/answer.rs
+++ b/components/member/src/pending.rs
@@ -13,13 +13,13 @@
 use wire::quorum::Pulse;
 
 use crate::core::Core;
-use crate::follow::Follower;
-use crate::input::{Unled, Verdict};
+use crate::follower::Follower;
+use crate::input::{Completion, NoLeader};
 use crate::status::Config;
 
 /// Who waits for a proposal.
 #[derive(Debug)]
-pub(crate) struct Pending(oneshot::Sender<Verdict>);
+pub(crate) struct Pending(oneshot::Sender<Completion>);
 
 impl Pending {
     /// Whether nobody waits any more.
@@ -41,35 +41,35 @@
 #[derive(Debug)]
 pub(crate) enum Read {
     /// An entry's beat.
-    Beat { key: Key<Follower>, sequence: u64, pulse: Pulse },
+    Heartbeat { key: Key<Follower>, sequence: u64, pulse: Pulse },
     /// Leases that an entry gave up in an earlier beat that was not confirmed.
-    Returned { key: Key<Follower>, pulse: Pulse },
+    ReturnedLeases { key: Key<Follower>, pulse: Pulse },
     /// A designation that needs a quorum behind it.
     Designate(Designation),
     /// The declarations.
-    Config(oneshot::Sender<Result<Config, Unled>>),
+    Config(oneshot::Sender<Result<Config, NoLeader>>),
 }
 
 impl Core {
     /// Proposes a command for somebody who waits.
-    pub(crate) fn propose(&mut self, command: &Command, reply: oneshot::Sender<Verdict>) {
+    pub(crate) fn propose(&mut self, command: &Command, reply: oneshot::Sender<Completion>) {
         let token = self.next_token();
         self.proposals.insert(token, Pending(reply));
         let command = command.encode_to_vec().into();
-        self.due.push_back(Event::Propose { token, command });
+        self.quorum_events.push_back(Event::Propose { token, command });
     }
 
     /// Proposes a change of membership for somebody who waits.
-    pub(crate) fn change(&mut self, change: Change, reply: oneshot::Sender<Verdict>) {
+    pub(crate) fn change(&mut self, change: Change, reply: oneshot::Sender<Completion>) {
         let token = self.next_token();
         self.proposals.insert(token, Pending(reply));
-        self.due.push_back(Event::Change { token, change });
+        self.quorum_events.push_back(Event::Change { token, change });
     }
 
     /// Tells who waits what became of a proposal.
-    pub(crate) fn resolve(&mut self, token: u64, verdict: Verdict) {
+    pub(crate) fn resolve(&mut self, token: u64, completion: Completion) {
         if let Some(Pending(reply)) = self.proposals.remove(&token) {
-            drop(reply.send(verdict));
+            drop(reply.send(completion));
         }
     }
 
@@ -77,28 +77,30 @@
     pub(crate) fn read(&mut self, read: Read, note: Option<Bytes>) {
         let token = self.next_token();
         self.reads.insert(token, read);
-        self.due.push_back(Event::Read { token, note });
+        self.quorum_events.push_back(Event::Read { token, note });
     }
 
     /// A read is confirmed at an index.
     pub(crate) fn confirm(&mut self, token: u64, index: u64) {
         match self.reads.remove(&token) {
-            Some(Read::Beat { key, sequence, .. }) => self.confirm_beat(key, sequence, index),
+            Some(Read::Heartbeat { key, sequence, .. }) => {
+                self.confirm_heartbeat(key, sequence, index)
+            }
             Some(read @ Read::Config(_)) => {
                 self.confirmed.push((index, read));
                 self.answer_reads();
             }
             Some(Read::Designate(designation)) => self.designate(designation),
-            Some(Read::Returned { .. }) | None => {}
+            Some(Read::ReturnedLeases { .. }) | None => {}
         }
     }
 
     /// A read was not confirmed.
-    pub(crate) fn unconfirm(&mut self, token: u64) {
+    pub(crate) fn reject_read(&mut self, token: u64) {
         match self.reads.remove(&token) {
-            Some(Read::Config(reply)) => drop(reply.send(Err(Unled))),
-            Some(Read::Beat { key, pulse, .. } | Read::Returned { key, pulse }) => {
-                self.keep_returned(key, pulse);
+            Some(Read::Config(reply)) => drop(reply.send(Err(NoLeader))),
+            Some(Read::Heartbeat { key, pulse, .. } | Read::ReturnedLeases { key, pulse }) => {
+                self.retain_returned(key, pulse);
             }
             // the leader asks again, if it still leads
             Some(Read::Designate(_)) | None => {}
@@ -118,10 +120,10 @@
         }
     }
 
-    fn confirm_beat(&mut self, key: Key<Follower>, sequence: u64, index: u64) {
-        self.meter.confirmed.inc();
+    fn confirm_heartbeat(&mut self, key: Key<Follower>, sequence: u64, index: u64) {
+        self.meter.heartbeats_confirmed.inc();
         let lease_ms = control::lease::LEASE_DURATION.as_millis() as u64;
         let confirm = Confirm { sequence, index, lease_ms };
-        self.give(key, Down { body: Some(down::Body::Confirm(confirm)) });
+        self.enqueue(key, Down { body: Some(down::Body::Confirm(confirm)) });
     }
 }
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -25,14 +25,14 @@
 
 /// A line to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Line {
+struct Target {
     server: Name,
     address: SocketAddr,
     order: bool,
 }
 
 #[derive(Debug)]
-struct Question {
+struct Request {
     group: Name,
     ask: Ask,
 }
@@ -45,7 +45,7 @@
     /// This member's name, as the holder of promotions.
     own: Name,
     outside: Option<Arc<dyn Outside>>,
-    lines: HashMap<Line, mpsc::Sender<Question>>,
+    queues: HashMap<Target, mpsc::Sender<Request>>,
 }
 
 impl Probes {
@@ -55,7 +55,7 @@
         own: Name,
         outside: Option<Arc<dyn Outside>>,
     ) -> Self {
-        Self { core, scope, own, outside, lines: HashMap::new() }
+        Self { core, scope, own, outside, queues: HashMap::new() }
     }
 
     /// Asks a server; the answer reaches the core. A question that can't be
@@ -66,25 +66,26 @@
         server: Name,
         address: SocketAddr,
         ask: Ask,
-        solo: bool,
+        unfenced: bool,
     ) -> Option<Event> {
-        let line = Line { server, address, order: ask != Ask::Status };
-        self.lines.retain(|_, queue| !queue.is_closed());
-        if !self.lines.contains_key(&line) {
+        let target = Target { server, address, order: ask != Ask::Status };
+        self.queues.retain(|_, queue| !queue.is_closed());
+        if !self.queues.contains_key(&target) {
             let (queue, due) = mpsc::channel(QUEUE);
-            match self.outside.clone().filter(|_| solo) {
+            match self.outside.clone().filter(|_| unfenced) {
                 Some(outside) => {
-                    let target = Target { group: group.clone(), own: self.own.clone(), outside };
-                    self.scope.spawn(run_outside(line.clone(), target, due, self.core.clone()));
+                    let external =
+                        External { group: group.clone(), own: self.own.clone(), outside };
+                    self.scope.spawn(run_outside(target.clone(), external, due, self.core.clone()));
                 }
-                None => self.scope.spawn(run(line.clone(), due, self.core.clone())),
+                None => self.scope.spawn(run(target.clone(), due, self.core.clone())),
             }
-            self.lines.insert(line.clone(), queue);
+            self.queues.insert(target.clone(), queue);
         }
-        let put = self.lines.get(&line)?.try_send(Question { group, ask });
-        let (mpsc::error::TrySendError::Full(question)
-        | mpsc::error::TrySendError::Closed(question)) = put.err()?;
-        Some(probed(question.group, line.server, question.ask, Err(ProbeError::Silent)))
+        let put = self.queues.get(&target)?.try_send(Request { group, ask });
+        let (mpsc::error::TrySendError::Full(request) | mpsc::error::TrySendError::Closed(request)) =
+            put.err()?;
+        Some(probed(request.group, target.server, request.ask, Err(ProbeError::Silent)))
     }
 }
 
@@ -92,11 +93,11 @@
     Event::Probed { group, server, ask, result }
 }
 
-async fn run(line: Line, mut due: mpsc::Receiver<Question>, core: Sender) {
-    let mut open = None;
-    while let Ok(Some(question)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
-        let answer = answer(&mut open, line.address, question.ask).await;
-        let event = probed(question.group, line.server.clone(), question.ask, answer);
+async fn run(target: Target, mut due: mpsc::Receiver<Request>, core: Sender) {
+    let mut connection = None;
+    while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
+        let answer = answer(&mut connection, target.address, request.ask).await;
+        let event = probed(request.group, target.server.clone(), request.ask, answer);
         if core.send(Input::Probed(event)).await.is_err() {
             return;
         }
@@ -105,32 +106,37 @@
 
 /// A server that takes orders from outside.
 #[derive(Debug)]
-struct Target {
+struct External {
     group: Name,
     own: Name,
     outside: Arc<dyn Outside>,
 }
 
-async fn run_outside(line: Line, target: Target, mut due: mpsc::Receiver<Question>, core: Sender) {
-    let Target { group, own, outside } = target;
-    let mut open = outside.line(&group, &line.server, line.address);
-    while let Ok(Some(question)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
-        let status = match question.ask {
+async fn run_outside(
+    target: Target,
+    external: External,
+    mut due: mpsc::Receiver<Request>,
+    core: Sender,
+) {
+    let External { group, own, outside } = external;
+    let mut connection = outside.line(&group, &target.server, target.address);
+    while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
+        let status = match request.ask {
             Ask::Designate { token } => {
-                let (group, server, holder) = (group.clone(), line.server.clone(), own.clone());
+                let (group, server, holder) = (group.clone(), target.server.clone(), own.clone());
                 let promotion = Promotion { group, server, holder, token };
                 match outside.promote(promotion).await {
-                    Ok(()) => open.status().await,
+                    Ok(()) => connection.status().await,
                     Err(report) => Err(report),
                 }
             }
-            Ask::Status => open.status().await,
+            Ask::Status => connection.status().await,
             Ask::Fence(_) | Ask::Promote(_) | Ask::Follow { .. } => {
                 Err(Report::new(backend::Failure::Rejected))
             }
         };
-        let answer = status.map_err(|report| unreached(*report.current_context()));
-        let event = probed(question.group, line.server.clone(), question.ask, answer);
+        let answer = status.map_err(|report| probe_error(*report.current_context()));
+        let event = probed(request.group, target.server.clone(), request.ask, answer);
         if core.send(Input::Probed(event)).await.is_err() {
             return;
         }
@@ -139,7 +145,7 @@
 
 /// A connection and the version of the last report on it.
 #[derive(Debug)]
-struct Open {
+struct Connection {
     probe: sql::Probe,
     version: u64,
 }
@@ -147,24 +153,24 @@
 /// Asks on the standing connection; if that broke, once more on a new one.
 /// All questions are repeatable.
 async fn answer(
-    open: &mut Option<Open>,
+    connection: &mut Option<Connection>,
     address: SocketAddr,
     ask: Ask,
 ) -> Result<Status, ProbeError> {
-    let stood = open.is_some();
-    match try_answer(open, address, ask).await {
-        Err(backend::Failure::Broken) if stood => try_answer(open, address, ask).await,
+    let reused = connection.is_some();
+    match try_answer(connection, address, ask).await {
+        Err(backend::Failure::Broken) if reused => try_answer(connection, address, ask).await,
         answer => answer,
     }
-    .map_err(unreached)
+    .map_err(probe_error)
 }
 
 async fn try_answer(
-    open: &mut Option<Open>,
+    connection: &mut Option<Connection>,
     address: SocketAddr,
     ask: Ask,
 ) -> Result<Status, backend::Failure> {
-    let mut current = match open.take() {
+    let mut current = match connection.take() {
         Some(current) => current,
         None => connect(address).await?,
     };
@@ -178,17 +184,17 @@
     };
     let status = answered.map_err(|report| *report.current_context())?;
     current.version = status.version;
-    *open = Some(current);
+    *connection = Some(current);
     Ok(status)
 }
 
-async fn connect(address: SocketAddr) -> Result<Open, backend::Failure> {
+async fn connect(address: SocketAddr) -> Result<Connection, backend::Failure> {
     let connected = sql::Probe::connect(address, sql::TIMEOUT).await;
     let probe = connected.map_err(|report| *report.current_context())?;
-    Ok(Open { probe, version: 0 })
+    Ok(Connection { probe, version: 0 })
 }
 
-fn unreached(failure: backend::Failure) -> ProbeError {
+fn probe_error(failure: backend::Failure) -> ProbeError {
     match failure {
         backend::Failure::Refused => ProbeError::Refused,
         backend::Failure::Timeout | backend::Failure::Broken => ProbeError::Silent,
--- a/components/member/src/roster.rs
+++ b/components/member/src/roster.rs
@@ -14,19 +14,19 @@
 use wire::quorum::{Member, Members};
 
 use crate::core::Core;
-use crate::input::Verdict;
+use crate::input::Completion;
 
 /// Silence after which a member is removed, where enough others vote.
-pub const GONE: Duration = Duration::from_secs(3);
+pub const VOTER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Silence after which a member that does not vote is removed.
-pub const LEARNER_GONE: Duration = Duration::from_secs(6);
+pub const LEARNER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Time for which a newcomer's request stands.
-const STANDS: Duration = Duration::from_secs(2);
+const REQUEST_TTL: Duration = Duration::from_secs(2);
 
 /// Time without a leader after which a member asks to be added.
-const UNLED: Duration = Duration::from_millis(1_200);
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Most members that vote where `tolerance` of them may be lost at once. The
 /// number is odd: one more would bear no more losses, and with an even number a
@@ -45,7 +45,7 @@
     /// even if some are silent.
     tolerance: usize,
     newcomers: BTreeMap<u64, (Member, Instant)>,
-    open: Option<oneshot::Receiver<Verdict>>,
+    pending: Option<oneshot::Receiver<Completion>>,
 }
 
 impl Roster {
@@ -64,21 +64,21 @@
         members: &Members,
         silences: &[(u64, Duration)],
     ) -> Option<Change> {
-        self.newcomers.retain(|_, (_, at)| now.since(*at) <= STANDS);
+        self.newcomers.retain(|_, (_, at)| now.since(*at) <= REQUEST_TTL);
         let silence = |id| {
             let found = silences.iter().find(|(known, _)| *known == id);
             found.map_or(Duration::ZERO, |(_, silence)| *silence)
         };
         let voters = members.members.iter().filter(|member| member.voter).count();
-        let learns = |member: &Member| !member.voter && silence(member.id) < GONE;
-        let heir = members.members.iter().any(learns);
-        let gone = members.members.iter().find(|member| {
-            let spare = voters > self::voters(self.tolerance) || heir;
-            let limit = if member.voter { GONE } else { LEARNER_GONE };
-            silence(member.id) >= limit && (spare || !member.voter)
+        let is_live_learner = |member: &Member| !member.voter && silence(member.id) < VOTER_TIMEOUT;
+        let has_replacement = members.members.iter().any(is_live_learner);
+        let silent = members.members.iter().find(|member| {
+            let removable = voters > self::voters(self.tolerance) || has_replacement;
+            let limit = if member.voter { VOTER_TIMEOUT } else { LEARNER_TIMEOUT };
+            silence(member.id) >= limit && (removable || !member.voter)
         });
-        if let Some(gone) = gone {
-            return Some(Change::Remove(gone.id));
+        if let Some(silent) = silent {
+            return Some(Change::Remove(silent.id));
         }
         let known = |id: &u64| members.members.iter().any(|member| member.id == *id);
         let newcomer = self.newcomers.iter().find(|(id, _)| !known(id));
@@ -86,37 +86,41 @@
     }
 
     /// Notes a host that asks to be a member.
-    pub fn hear(&mut self, now: Instant, member: Member) {
+    pub fn record_request(&mut self, now: Instant, member: Member) {
         self.newcomers.insert(member.id, (member, now));
     }
 
-    fn is_open(&mut self) -> bool {
-        let open = self.open.as_mut().is_some_and(|reply| {
+    fn has_pending_change(&mut self) -> bool {
+        let pending = self.pending.as_mut().is_some_and(|reply| {
             matches!(reply.try_recv(), Err(oneshot::error::TryRecvError::Empty))
         });
-        if !open {
-            self.open = None;
+        if !pending {
+            self.pending = None;
         }
-        open
+        pending
     }
 }
 
 impl Core {
     /// A host asks to be a member.
-    pub(crate) fn newcomer(&mut self, member: Member) {
+    pub(crate) fn on_join_request(&mut self, member: Member) {
         let now = self.now();
-        if self.part.leads {
-            self.roster.hear(now, member);
+        if self.leadership.leads {
+            self.roster.record_request(now, member);
         }
     }
 
     /// Makes the next change of the membership, if this member leads, and asks
     /// to be added if it has had no leader for long.
-    pub(crate) fn plan_members(&mut self) {
+    pub(crate) fn update_membership(&mut self) {
         let now = self.now();
-        self.asks.store(self.unled_for() >= UNLED, std::sync::atomic::Ordering::Release);
-        let able = self.leader.is_some() && self.stopping.is_none() && self.roster.automatic;
-        if !able || self.roster.is_open() {
+        self.wants_to_join.store(
+            self.leaderless_for() >= LEADERLESS_TIMEOUT,
+            std::sync::atomic::Ordering::Release,
+        );
+        let may_change =
+            self.leader.is_some() && self.stopping_since.is_none() && self.roster.automatic;
+        if !may_change || self.roster.has_pending_change() {
             return;
         }
         let silences = self.replica.silences(now);
@@ -125,15 +129,15 @@
         };
         info!(self.log, "changes the membership"; "change" => ?change);
         let (reply, answer) = oneshot::channel();
-        self.roster.open = Some(answer);
+        self.roster.pending = Some(answer);
         self.change(change, reply);
     }
 
     /// A backend server is gone for good.
-    pub(crate) fn retire(&mut self, server: &Name, reply: oneshot::Sender<Verdict>) {
+    pub(crate) fn retire(&mut self, server: &Name, reply: oneshot::Sender<Completion>) {
         let Some(known) = self.state.servers.get(server) else {
             let (index, outcome) = (self.state.index, control::Outcome::Unchanged);
-            drop(reply.send(Verdict::Applied { index, outcome }));
+            drop(reply.send(Completion::Applied { index, outcome }));
             return;
         };
         let incarnation = known.incarnation;
--- a/components/member/src/standby.rs
+++ b/components/member/src/standby.rs
@@ -32,6 +32,6 @@
 async fn answer(stream: TcpStream, name: &Name, key: &Key) -> Result<(), Report<Failure>> {
     let own = Peer::new(name.as_str(), 0, Purpose::Quorum);
     let (_, mut reader, mut writer) = ::link::accept(stream, &own, key).await?;
-    let _asked: Option<Hello> = reader.next().await?;
+    let _hello: Option<Hello> = reader.next().await?;
     writer.send(&Hello { fresh: true, ..Hello::default() }).await
 }
--- a/components/member/src/status.rs
+++ b/components/member/src/status.rs
@@ -13,7 +13,7 @@
 use crate::core::Core;
 
 /// Failovers that are remembered.
-const FAILOVERS: usize = 32;
+const MAX_FAILOVERS: usize = 32;
 
 /// The declarations and where they stand.
 #[derive(Clone, Debug, Serialize)]
@@ -86,12 +86,12 @@
     voter: bool,
     /// Last index known to be on its disk; told by the leader only.
     matched: Option<u64>,
-    beacon: Option<Heard>,
+    beacon: Option<BeaconStatus>,
 }
 
 /// The newest beacon of a member.
 #[derive(Clone, Debug, Serialize)]
-struct Heard {
+struct BeaconStatus {
     index: u64,
     term: u64,
     leader: Option<String>,
@@ -141,9 +141,9 @@
     }
 
     fn find<'a>(list: &'a mut VecDeque<Self>, group: &str, term: u64) -> &'a mut Self {
-        let place = list.iter().position(|known| known.group == group && known.term == term);
-        let place = place.unwrap_or_else(|| {
-            if list.len() == FAILOVERS {
+        let index = list.iter().position(|known| known.group == group && known.term == term);
+        let index = index.unwrap_or_else(|| {
+            if list.len() == MAX_FAILOVERS {
                 list.pop_front();
             }
             list.push_back(Self {
@@ -156,7 +156,7 @@
             });
             list.len() - 1
         });
-        &mut list[place]
+        &mut list[index]
     }
 }
 
@@ -175,9 +175,9 @@
         Status {
             member: self.own.name.clone(),
             id: id(self.own.id),
-            leader: self.part.leader.and_then(|leader| self.name_of(leader)),
-            leads: self.part.leads,
-            term: self.part.term,
+            leader: self.leadership.leader.and_then(|leader| self.name_of(leader)),
+            leads: self.leadership.leads,
+            term: self.leadership.term,
             commit: self.replica.commit(),
             index: self.state.index,
             version: self.state.version,
@@ -203,9 +203,9 @@
         members.map(member).collect()
     }
 
-    fn show_beacon(&self, id: u64) -> Option<Heard> {
-        let (beacon, at) = self.heard.get(&id)?;
-        Some(Heard {
+    fn show_beacon(&self, id: u64) -> Option<BeaconStatus> {
+        let (beacon, at) = self.beacons_received.get(&id)?;
+        Some(BeaconStatus {
             index: beacon.index,
             term: beacon.term,
             leader: self.name_of(beacon.leader),
@@ -214,12 +214,12 @@
     }
 
     /// The entries; where no leader tells what they applied, as was heard here.
-    fn show_entries(&self, told: Vec<Entry>) -> Vec<Entry> {
+    fn show_entries(&self, entries: Vec<Entry>) -> Vec<Entry> {
         let entry = |entry: Entry| Entry {
-            applied: entry.applied.or_else(|| self.seen.get(&entry.name).copied()),
+            applied: entry.applied.or_else(|| self.entry_indexes.get(&entry.name).copied()),
             ..entry
         };
-        told.into_iter().map(entry).collect()
+        entries.into_iter().map(entry).collect()
     }
 
     /// The steps that were applied here, each with what its leader saw. A
--- a/components/member/src/web.rs
+++ b/components/member/src/web.rs
@@ -16,13 +16,13 @@
 use wire::log::{self, command};
 use wire::quorum::Refusal;
 
-use crate::api::{Api, Lost};
-use crate::input::{Input, Unled, Verdict};
-use crate::link::End;
+use crate::api::{Api, RequestError};
+use crate::input::{Completion, Input, NoLeader};
+use crate::link::Endpoint;
 use crate::peers;
 
 /// Pace at which backend servers renew their announcements.
-const RENEW: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after which a request that was not taken may come again.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -30,11 +30,11 @@
 #[derive(Clone, Debug)]
 struct Shared {
     api: Api,
-    end: End,
+    endpoint: Endpoint,
 }
 
 /// The member's own routes.
-pub(crate) fn routes(api: Api, end: End) -> Router {
+pub(crate) fn routes(api: Api, endpoint: Endpoint) -> Router {
     Router::new()
         .route("/v1/announce", post(announce))
         .route("/v1/changes", post(change))
@@ -42,22 +42,22 @@
         .route("/v1/status", get(status))
         .route("/v1/members", post(members))
         .route("/v1/drain", post(drain))
-        .with_state(Shared { api, end })
+        .with_state(Shared { api, endpoint })
 }
 
 /// Why a request failed.
 #[derive(Debug)]
 enum Failure {
     /// A name or address can't be read.
-    Unreadable,
+    InvalidAnnounce,
     /// A change without an id.
-    Unnamed,
+    MissingId,
     /// No member of that name.
-    Stranger { name: Name },
+    UnknownMember { name: Name },
     /// Nothing at that address holds the key and is a member.
-    Silent { link: SocketAddr },
+    Unreachable { link: SocketAddr },
     /// Another member listens there.
-    Other { link: SocketAddr, name: String },
+    NameMismatch { link: SocketAddr, name: String },
     /// The declarations have faults.
     Faults(Vec<config::Fault>),
     /// The command has no effect.
@@ -69,7 +69,7 @@
     /// Another change of membership is under way.
     Busy,
     /// No leader took it.
-    Unled,
+    NoLeader,
     /// It was passed on; whether it ran is not known.
     Unknown,
 }
@@ -77,11 +77,11 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable => f.write_str("a name or the address can't be read"),
-            Self::Unnamed => f.write_str("`change` must not be empty"),
-            Self::Stranger { name } => write!(f, "{name} is no member"),
-            Self::Silent { link } => write!(f, "no member answers at {link}"),
-            Self::Other { link, name } => write!(f, "the member at {link} is {name}"),
+            Self::InvalidAnnounce => f.write_str("a name or the address can't be read"),
+            Self::MissingId => f.write_str("`change` must not be empty"),
+            Self::UnknownMember { name } => write!(f, "{name} is no member"),
+            Self::Unreachable { link } => write!(f, "no member answers at {link}"),
+            Self::NameMismatch { link, name } => write!(f, "the member at {link} is {name}"),
             Self::Faults(faults) => {
                 let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
                 f.write_str(&faults.join("; "))
@@ -90,7 +90,7 @@
             Self::Membership(refusal) => write!(f, "the membership stays: {refusal}"),
             Self::Conflict { .. } => f.write_str("the change starts from another version"),
             Self::Busy => f.write_str("another change of membership is under way"),
-            Self::Unled => f.write_str("no leader is known"),
+            Self::NoLeader => f.write_str("no leader is known"),
             Self::Unknown => f.write_str("the leader was lost before it answered"),
         }
     }
@@ -102,7 +102,7 @@
     fn status(&self) -> StatusCode {
         match self {
             Self::Conflict { .. } => StatusCode::CONFLICT,
-            Self::Busy | Self::Unled | Self::Unknown => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Busy | Self::NoLeader | Self::Unknown => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::BAD_REQUEST,
         }
     }
@@ -110,7 +110,7 @@
     /// Whether it surely did not run, where that is in question.
     fn not_run(&self) -> Option<bool> {
         match self {
-            Self::Busy | Self::Unled => Some(true),
+            Self::Busy | Self::NoLeader => Some(true),
             Self::Unknown => Some(false),
             _ => None,
         }
@@ -141,17 +141,17 @@
     }
 }
 
-impl From<Unled> for Failure {
-    fn from(Unled: Unled) -> Self {
-        Self::Unled
+impl From<NoLeader> for Failure {
+    fn from(NoLeader: NoLeader) -> Self {
+        Self::NoLeader
     }
 }
 
-impl From<Lost> for Failure {
-    fn from(lost: Lost) -> Self {
-        match lost {
-            Lost::Unled => Self::Unled,
-            Lost::Unknown => Self::Unknown,
+impl From<RequestError> for Failure {
+    fn from(error: RequestError) -> Self {
+        match error {
+            RequestError::NoLeader => Self::NoLeader,
+            RequestError::Unknown => Self::Unknown,
         }
     }
 }
@@ -159,20 +159,20 @@
 impl Shared {
     async fn propose(&self, body: command::Body) -> Result<(u64, Outcome), Failure> {
         match self.api.propose(body).await? {
-            Verdict::Applied { index, outcome } => Ok((index, outcome)),
-            verdict => Err(failure(&verdict)),
+            Completion::Applied { index, outcome } => Ok((index, outcome)),
+            completion => Err(failure(&completion)),
         }
     }
 }
 
-fn failure(verdict: &Verdict) -> Failure {
-    match verdict {
-        Verdict::Dropped { not_run: true } => Failure::Unled,
-        Verdict::Refused(Refusal::Busy | Refusal::Early) => Failure::Busy,
-        Verdict::Refused(refusal) => Failure::Membership(*refusal),
-        Verdict::Dropped { not_run: false } | Verdict::Applied { .. } | Verdict::Changed { .. } => {
-            Failure::Unknown
-        }
+fn failure(completion: &Completion) -> Failure {
+    match completion {
+        Completion::Dropped { not_run: true } => Failure::NoLeader,
+        Completion::Refused(Refusal::Busy | Refusal::Early) => Failure::Busy,
+        Completion::Refused(refusal) => Failure::Membership(*refusal),
+        Completion::Dropped { not_run: false }
+        | Completion::Applied { .. }
+        | Completion::Changed { .. } => Failure::Unknown,
     }
 }
 
@@ -221,10 +221,10 @@
 ) -> Result<Json<Renew>, Failure> {
     let announce = log::Announce::from(announce);
     if control::Server::from_announce(&announce).is_none() {
-        return Err(Failure::Unreadable);
+        return Err(Failure::InvalidAnnounce);
     }
     shared.api.ask(|reply| Input::Announce { announce, reply }).await??;
-    Ok(Json(Renew { renew_ms: RENEW.as_millis() as u64 }))
+    Ok(Json(Renew { renew_ms: ANNOUNCE_INTERVAL.as_millis() as u64 }))
 }
 
 #[derive(Debug, Deserialize)]
@@ -247,7 +247,7 @@
 ) -> Result<Json<Changed>, Failure> {
     let Change { id, base, content } = change;
     if id.is_empty() {
-        return Err(Failure::Unnamed);
+        return Err(Failure::MissingId);
     }
     let declared = Declarations::parse(&content).map_err(Failure::Faults)?;
     let config = shared.api.ask(|reply| Input::Config { reply }).await??;
@@ -294,12 +294,12 @@
         Membership::Add { name, link, web } => add(&shared, &name, link, web).await?,
         Membership::Remove { name } => {
             let id = shared.api.ask(|reply| Input::Status { reply }).await?.id_of(name.as_str());
-            quorum::Change::Remove(id.ok_or(Failure::Stranger { name })?)
+            quorum::Change::Remove(id.ok_or(Failure::UnknownMember { name })?)
         }
     };
     match shared.api.ask(|reply| Input::Change { change, reply }).await? {
-        Verdict::Changed { index } => Ok(Json(Done { index })),
-        verdict => Err(failure(&verdict)),
+        Completion::Changed { index } => Ok(Json(Done { index })),
+        completion => Err(failure(&completion)),
     }
 }
 
@@ -310,11 +310,11 @@
     link: SocketAddr,
     web: SocketAddr,
 ) -> Result<quorum::Change, Failure> {
-    let greeted = peers::greet(link, &shared.end).await;
+    let greeted = peers::exchange_hello(link, &shared.endpoint).await;
     let found = greeted.ok().and_then(|(hello, _, _)| hello.member);
-    let member = found.ok_or(Failure::Silent { link })?;
+    let member = found.ok_or(Failure::Unreachable { link })?;
     if member.name != name.as_str() {
-        return Err(Failure::Other { link, name: member.name });
+        return Err(Failure::NameMismatch { link, name: member.name });
     }
     let (link, web) = (link.to_string(), web.to_string());
     Ok(quorum::Change::Add(wire::quorum::Member {
--- a/components/member/tests/trio/mod.rs
+++ b/components/member/tests/cluster/mod.rs
@@ -11,8 +11,8 @@
 use reqwest::{Client, StatusCode};
 use serde_json::{Value, json};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
-pub const PAUSE: Duration = Duration::from_millis(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub fn settings(name: &str, data: &Path, at: Option<Addresses>) -> Settings {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -35,20 +35,20 @@
     loop {
         match member::bind(settings(name, data, at)).await {
             Ok(bound) => return bound,
-            Err(report) if start.elapsed() > PATIENCE => panic!("{report:?}"),
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(report) if start.elapsed() > TIMEOUT => panic!("{report:?}"),
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-pub struct Trio {
+pub struct Cluster {
     pub data: tempfile::TempDir,
     pub peers: Vec<Peer>,
     pub handles: Vec<Option<Handle>>,
     pub client: Client,
 }
 
-impl Trio {
+impl Cluster {
     pub async fn start() -> Self {
         let data = tempfile::tempdir().expect("a folder");
         let mut bounds = Vec::new();
@@ -90,7 +90,7 @@
     /// Waits until a running member leads and says so itself.
     pub async fn leader(&self) -> usize {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             for place in 0..self.peers.len() {
                 let status = if self.handles[place].is_some() {
                     self.get(place, "/v1/status").await
@@ -101,7 +101,7 @@
                     return place;
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("no leader");
     }
@@ -117,12 +117,12 @@
         let content = json!({ "groups": groups, "services": {}, "selectors": {} }).to_string();
         let body = json!({ "change": id, "base": base, "content": content });
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             match self.post(place, "/v1/changes", &body).await {
                 Some((status, answer)) if status != StatusCode::SERVICE_UNAVAILABLE => {
                     return (status, answer);
                 }
-                _ => tokio::time::sleep(PAUSE).await,
+                _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
         panic!("no final answer");
@@ -131,10 +131,10 @@
     /// Asks until a read is confirmed.
     pub async fn version(&self, place: usize) -> u64 {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             match self.get(place, "/v1/config").await {
                 Some((StatusCode::OK, config)) => return config["version"].as_u64().expect("one"),
-                _ => tokio::time::sleep(PAUSE).await,
+                _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
         panic!("no confirmed read");
--- a/components/member/tests/follow.rs
+++ b/components/member/tests/follow.rs
@@ -1,21 +1,21 @@
 //! Entries that follow through a member.
 
-mod trio;
+mod cluster;
 
 use control::lease::LEASE_DURATION;
 use std::time::Duration;
 
+use cluster::{Cluster, TIMEOUT};
 use link::{Peer, Purpose, Reader, Writer};
 use reqwest::StatusCode;
 use serde_json::json;
-use trio::{PATIENCE, Trio};
 use wire::control::{Beat, Confirm, Down, Follow, Up, down, up};
 use wire::log::{Join, command};
 
-async fn follow(trio: &Trio, place: usize, applied: u64) -> (Reader, Writer) {
-    let key = trio::settings("x", trio.data.path(), None).key;
+async fn follow(cluster: &Cluster, place: usize, applied: u64) -> (Reader, Writer) {
+    let key = cluster::settings("x", cluster.data.path(), None).key;
     let peer = Peer::new("entry", 1, Purpose::Control);
-    let dialled = link::dial(trio.peers[place].link, &peer, &key).await;
+    let dialled = link::dial(cluster.peers[place].link, &peer, &key).await;
     let (_, reader, mut writer) = dialled.expect("a link");
     let join = Join {
         entry: "entry".to_owned(),
@@ -32,7 +32,7 @@
 }
 
 async fn next(reader: &mut Reader) -> down::Body {
-    let next = tokio::time::timeout(PATIENCE, reader.next::<Down>()).await;
+    let next = tokio::time::timeout(TIMEOUT, reader.next::<Down>()).await;
     let down = next.expect("in time").expect("a link").expect("a message");
     down.body.expect("a body")
 }
@@ -49,12 +49,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn sends_commands_in_order_and_confirms_beats() {
-    let trio = Trio::start().await;
-    let leader = trio.leader().await;
-    let (status, _) = trio.change(leader, "one", 0, &json!({})).await;
+    let cluster = Cluster::start().await;
+    let leader = cluster.leader().await;
+    let (status, _) = cluster.change(leader, "one", 0, &json!({})).await;
     assert_eq!(status, StatusCode::OK);
     for place in 0..3 {
-        let (mut reader, mut writer) = follow(&trio, place, 0).await;
+        let (mut reader, mut writer) = follow(&cluster, place, 0).await;
         let (mut index, mut joined, mut configured) = (0, false, false);
         while !joined || !configured {
             let down::Body::Entries(entries) = next(&mut reader).await else { continue };
@@ -77,12 +77,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn confirms_nothing_without_a_quorum() {
-    let mut trio = Trio::start().await;
-    let leader = trio.leader().await;
-    let (mut reader, mut writer) = follow(&trio, leader, 0).await;
+    let mut cluster = Cluster::start().await;
+    let leader = cluster.leader().await;
+    let (mut reader, mut writer) = follow(&cluster, leader, 0).await;
     beat(&mut reader, &mut writer, 1).await;
     for other in (0..3).filter(|place| *place != leader) {
-        trio.handles[other].take().expect("runs").kill();
+        cluster.handles[other].take().expect("runs").kill();
     }
     let confirmed = tokio::time::timeout(Duration::from_secs(1), async {
         loop {
@@ -105,21 +105,21 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn shows_how_far_the_others_are() {
-    let trio = Trio::start().await;
-    let leader = trio.leader().await;
-    let (status, answer) = trio.change(leader, "one", 0, &json!({})).await;
+    let cluster = Cluster::start().await;
+    let leader = cluster.leader().await;
+    let (status, answer) = cluster.change(leader, "one", 0, &json!({})).await;
     assert_eq!(status, StatusCode::OK);
     let start = std::time::Instant::now();
     for place in 0..3 {
         loop {
-            let (_, status) = trio.get(place, "/v1/status").await.expect("an answer");
+            let (_, status) = cluster.get(place, "/v1/status").await.expect("an answer");
             let members = status["members"].as_array().expect("a list");
             let heard = members.iter().filter(|m| m["beacon"]["index"] == answer["index"]);
             if heard.count() == 2 {
                 break;
             }
-            assert!(start.elapsed() < PATIENCE, "{status}");
-            tokio::time::sleep(trio::PAUSE).await;
+            assert!(start.elapsed() < TIMEOUT, "{status}");
+            tokio::time::sleep(cluster::POLL_INTERVAL).await;
         }
     }
 }
--- a/components/member/tests/roster.rs
+++ b/components/member/tests/roster.rs
@@ -1,7 +1,7 @@
 //! Who is a member: newcomers are added, those that are gone are removed.
 
 use base::prelude::*;
-use member::roster::{GONE, LEARNER_GONE, Roster};
+use member::roster::{LEARNER_TIMEOUT, Roster, VOTER_TIMEOUT};
 use quorum::Change;
 use wire::quorum::{Member, Members};
 
@@ -24,44 +24,44 @@
 #[test]
 fn a_newcomer_is_added_and_a_member_that_asks_is_not() {
     let mut roster = Roster::new(Some(1));
-    roster.hear(NOW, member(2, false));
+    roster.record_request(NOW, member(2, false));
     assert_eq!(roster.next(NOW, &members(3, 0), &[]), None);
-    roster.hear(NOW, member(9, false));
+    roster.record_request(NOW, member(9, false));
     assert_eq!(roster.next(NOW, &members(3, 0), &[]), Some(Change::Add(member(9, false))));
 }
 
 #[test]
 fn a_request_to_join_is_forgotten_in_time() {
     let mut roster = Roster::new(Some(1));
-    roster.hear(NOW, member(9, false));
+    roster.record_request(NOW, member(9, false));
     let later = NOW + Duration::from_secs(10);
     assert_eq!(roster.next(later, &members(3, 0), &[]), None);
 }
 
 #[test]
 fn a_silent_voter_stays_while_fewer_would_bear_no_loss() {
-    assert_eq!(next(1, &members(3, 0), &[(2, GONE * 9)]), None);
-    assert_eq!(next(2, &members(5, 0), &[(2, GONE * 9)]), None);
+    assert_eq!(next(1, &members(3, 0), &[(2, VOTER_TIMEOUT * 9)]), None);
+    assert_eq!(next(2, &members(5, 0), &[(2, VOTER_TIMEOUT * 9)]), None);
 }
 
 #[test]
 fn a_silent_voter_is_removed_where_enough_others_vote() {
     let gone = Some(Change::Remove(2));
-    assert_eq!(next(1, &members(4, 0), &[(2, GONE)]), gone);
-    assert_eq!(next(2, &members(6, 0), &[(2, GONE)]), gone);
-    let short = GONE.saturating_sub(Duration::from_millis(1));
+    assert_eq!(next(1, &members(4, 0), &[(2, VOTER_TIMEOUT)]), gone);
+    assert_eq!(next(2, &members(6, 0), &[(2, VOTER_TIMEOUT)]), gone);
+    let short = VOTER_TIMEOUT.saturating_sub(Duration::from_millis(1));
     assert_eq!(next(2, &members(6, 0), &[(2, short)]), None);
 }
 
 #[test]
 fn a_silent_voter_gives_way_to_a_newcomer_that_learns() {
-    assert_eq!(next(1, &members(3, 1), &[(2, GONE)]), Some(Change::Remove(2)));
-    let silences = [(2, GONE), (4, GONE)];
+    assert_eq!(next(1, &members(3, 1), &[(2, VOTER_TIMEOUT)]), Some(Change::Remove(2)));
+    let silences = [(2, VOTER_TIMEOUT), (4, VOTER_TIMEOUT)];
     assert_eq!(next(1, &members(3, 1), &silences), None, "the newcomer is silent too");
 }
 
 #[test]
 fn a_silent_learner_is_removed() {
-    let change = next(1, &members(3, 1), &[(4, LEARNER_GONE)]);
+    let change = next(1, &members(3, 1), &[(4, LEARNER_TIMEOUT)]);
     assert_eq!(change, Some(Change::Remove(4)));
 }
--- a/components/member/tests/silence.rs
+++ b/components/member/tests/silence.rs
@@ -1,16 +1,16 @@
 //! Links between members that go silent without being closed.
 
-mod trio;
+mod cluster;
 
 use std::net::SocketAddr;
 
+use cluster::{Cluster, bind};
 use member::Peer;
 use reqwest::{Client, StatusCode};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use trio::{Trio, bind};
 
 /// Passes connections on to `target` until they are muted: those that stand then
 /// stay open and pass nothing any more, new ones pass.
@@ -60,14 +60,14 @@
     }
     let start = |bound: member::Bound| bound.start(peers.clone(), axum::Router::new()).unwrap();
     let handles = bounds.into_iter().map(|bound| Some(start(bound))).collect();
-    let trio = Trio { data, peers: peers.clone(), handles, client: Client::new() };
-    let leader = trio.leader().await;
+    let cluster = Cluster { data, peers: peers.clone(), handles, client: Client::new() };
+    let leader = cluster.leader().await;
     let groups = json!({ "g1": { "servers": 3 } });
-    assert_eq!(trio.change(leader, "one", 0, &groups).await.0, StatusCode::OK);
+    assert_eq!(cluster.change(leader, "one", 0, &groups).await.0, StatusCode::OK);
     for round in 1..=2 {
         mute.send_replace(round);
         let place = (leader + round as usize) % 3;
-        let change = trio.change(place, &format!("after-{round}"), round, &groups).await;
+        let change = cluster.change(place, &format!("after-{round}"), round, &groups).await;
         assert_eq!(change.0, StatusCode::OK, "round {round}");
     }
 }
