--- a/components/local/src/cluster.rs
+++ b/components/local/src/cluster.rs
@@ -336,7 +336,7 @@
             clock,
             seed: settings.seed.wrapping_add(index as u64),
             beacons: true,
-            outside: None,
+            adapter: None,
         });
         let member = member.await.change_context(Failure::Member)?;
         let addresses = member.addresses();
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -56,7 +56,7 @@
     /// Whether it publishes how far it is.
     pub beacons: bool,
     /// The way to servers that acknowledge by themselves, where groups have such.
-    pub outside: Option<Arc<dyn Outside>>,
+    pub adapter: Option<Arc<dyn Outside>>,
 }
 
 /// How a member without a log comes to a membership.
@@ -264,7 +264,7 @@
             links: Links::new(endpoint, scope.clone()),
             beacons,
             beacons_received: BTreeMap::new(),
-            probes: Probes::new(core.clone(), scope.clone(), settings.name, settings.outside),
+            probes: Probes::new(core.clone(), scope.clone(), settings.name, settings.adapter),
             followers: Arena::new(),
             applied: Vec::new(),
             image: None,
--- a/components/member/tests/cluster/mod.rs
+++ b/components/member/tests/cluster/mod.rs
@@ -26,7 +26,7 @@
         clock: Clock::start(),
         seed: 7,
         beacons: true,
-        outside: None,
+        adapter: None,
     }
 }
 
--- a/components/member/tests/seeds.rs
+++ b/components/member/tests/seeds.rs
@@ -36,7 +36,7 @@
         clock: Clock::start(),
         seed: 7,
         beacons: false,
-        outside: None,
+        adapter: None,
     });
     bound.await.unwrap()
 }
--- a/programs/trefoil-control/src/cmd/run.rs
+++ b/programs/trefoil-control/src/cmd/run.rs
@@ -27,7 +27,7 @@
         clock: Clock::start(),
         seed: 0,
         beacons: true,
-        outside: None,
+        adapter: None,
     });
     let bound = bound.await.change_context(Failure::Start)?;
     let started = bound.start(settings.peers, axum::Router::new());
