--- a/components/member/src/api.rs
+++ b/components/member/src/api.rs
@@ -1,4 +1,4 @@
-//! What a program may ask of the member that it runs.
+//! The interface of a running member for the program that hosts it.
 
 use base::prelude::*;
 use bytes::Bytes;
@@ -9,16 +9,16 @@
 
 use crate::input::{Completion, Input, NoLeader, Sender};
 
-/// Time after which an answer is given up.
+/// Longest wait for an answer of the core.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a question has no answer.
+/// Failure of a request to the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 pub enum RequestError {
-    /// No leader took it; it was not done.
+    /// No leader accepted the request; it was not executed.
     #[strum(serialize = "Unled")]
     NoLeader,
-    /// The leader was lost before it answered; it may have been done.
+    /// The leader was lost before it answered; the request may have been executed.
     Unknown,
 }
 
@@ -30,26 +30,26 @@
     }
 }
 
-/// A whole edition of the declarations.
+/// A complete edition of the declarations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Edition {
-    /// Its number; zero for none.
+    /// Number of the edition; zero if there is none.
     pub number: u64,
-    /// The document that it was read from, packed.
+    /// Source document of the edition, packed.
     pub(crate) packed: Bytes,
 }
 
 impl Edition {
-    /// The document that it was read from.
+    /// Source document of the edition.
     ///
     /// # Errors
-    /// [`Garbled`] when the state holds another's bytes.
+    /// [`Garbled`] if the stored bytes are not a packed document.
     pub fn document(&self) -> Result<Vec<u8>, Report<Garbled>> {
         pack::unpack(&self.packed)
     }
 }
 
-/// The way to a member that runs.
+/// Handle for requests to a running member.
 #[derive(Clone, Debug)]
 pub struct Api {
     core: Sender,
@@ -60,7 +60,7 @@
         Self { core }
     }
 
-    /// Puts an input to the core and waits for its answer.
+    /// Sends an input to the core and waits for its answer.
     pub(crate) async fn ask<T>(
         &self,
         input: impl FnOnce(oneshot::Sender<T>) -> Input,
@@ -76,27 +76,27 @@
         self.ask(|reply| Input::Propose { command, reply }).await
     }
 
-    /// Passes on what a backend server says of itself.
+    /// Forwards the announcement of a backend server.
     ///
     /// # Errors
-    /// [`RequestError`].
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
     pub async fn announce(&self, announce: Announce) -> Result<(), RequestError> {
         Ok(self.ask(|reply| Input::Announce { announce, reply }).await??)
     }
 
-    /// Notes that a backend server is gone for good.
+    /// Records that a backend server is permanently gone.
     ///
     /// # Errors
-    /// [`RequestError`].
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
     pub async fn retire(&self, server: Name) -> Result<(), RequestError> {
-        done(&self.ask(|reply| Input::Retire { server, reply }).await?)
+        require_committed(&self.ask(|reply| Input::Retire { server, reply }).await?)
     }
 
-    /// Puts a whole edition of the declarations in force, if it is the newest.
-    /// Whether it was taken, or passed over for a newer one.
+    /// Makes a complete edition of the declarations current if its number is the
+    /// highest, and returns whether the edition was accepted.
     ///
     /// # Errors
-    /// [`RequestError`].
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
     pub async fn replace(&self, replace: Replace) -> Result<Replaced, RequestError> {
         match self.propose(command::Body::Replace(replace)).await? {
             Completion::Applied { outcome: Outcome::Applied, .. } => Ok(Replaced::Taken),
@@ -104,32 +104,32 @@
             Completion::Applied { outcome: Outcome::Refused(Refusal::Malformed), .. } => {
                 Ok(Replaced::Invalid)
             }
-            completion => done(&completion).map(|()| Replaced::Passed),
+            completion => require_committed(&completion).map(|()| Replaced::Passed),
         }
     }
 
-    /// The edition in force, confirmed by a quorum.
+    /// The current edition, confirmed by a quorum.
     ///
     /// # Errors
-    /// [`RequestError`].
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
     pub async fn edition(&self) -> Result<Edition, RequestError> {
         Ok(self.ask(|reply| Input::Config { reply }).await??.edition)
     }
 }
 
-/// What became of a whole edition.
+/// Result of a request to replace the edition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum Replaced {
-    /// It is in force.
+    /// The edition is current.
     Taken,
-    /// One that is as new or newer is.
+    /// An edition with the same or a higher number is current.
     Passed,
-    /// It has faults.
+    /// The edition is invalid.
     Invalid,
 }
 
-fn done(completion: &Completion) -> Result<(), RequestError> {
+fn require_committed(completion: &Completion) -> Result<(), RequestError> {
     match completion {
         Completion::Applied { .. } | Completion::Changed { .. } => Ok(()),
         Completion::Dropped { not_run: true } => Err(RequestError::NoLeader),
--- a/components/member/src/apply.rs
+++ b/components/member/src/apply.rs
@@ -1,4 +1,4 @@
-//! What is committed, put into the state.
+//! Applies committed entries and snapshots to the state.
 
 use base::prelude::*;
 use control::image::Malformed;
@@ -17,10 +17,10 @@
 use crate::input::Completion;
 use crate::status::Steps;
 
-/// Entries beyond the newest snapshot after which the next one is taken.
+/// Number of entries applied since the newest snapshot at which the next one is taken.
 const COMPACT_ENTRIES: u64 = 4_096;
 
-/// The state that a snapshot holds.
+/// Decodes the state in a snapshot.
 pub(crate) fn state(snapshot: &Snapshot) -> Result<State, Report<Malformed>> {
     if snapshot.index == 0 || snapshot.data.is_empty() {
         return Ok(State::default());
@@ -56,26 +56,27 @@
         if self.leadership.leads && self.leader.is_none() && entry.term == self.leadership.term {
             let leadership = Leadership { token: entry.term, ..self.control_leadership };
             self.leader = Some(control::Leader::with_leadership(self.now(), leadership));
-            info!(self.log, "decides for control"; "term" => entry.term, "index" => index);
+            info!(self.log, "became the control leader"; "term" => entry.term, "index" => index);
         }
         self.notify_leader(control::Event::Applied { index });
     }
 
-    /// Takes a snapshot in place of the state.
+    /// Replaces the state by a snapshot from the leader.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
         match state(snapshot) {
             Ok(mut state) => {
                 state.skip_to(snapshot.index);
                 self.state = state;
-                // what it passed over may have just happened
+                // the skipped entries may include a recent choice of a primary
                 let now = Some(self.now());
                 self.control_leadership =
                     Leadership { last_chosen: now, ..self.control_leadership };
-                info!(self.log, "took a snapshot"; "index" => snapshot.index);
+                info!(self.log, "restored a snapshot"; "index" => snapshot.index);
             }
             Err(report) => {
-                // the sender's code is newer or broken; this member can't go on
-                crit!(self.log, "a snapshot can't be read"; "failure" => ?report);
+                // the sender's version is newer or faulty; this member can't continue
+                crit!(self.log, "could not decode a snapshot; the member stops";
+                    "failure" => ?report);
                 self.stopping_since = Some(Instant::ZERO);
             }
         }
@@ -84,7 +85,7 @@
         self.answer_reads();
     }
 
-    /// Takes a snapshot once the log has grown by enough.
+    /// Takes a snapshot once the log has grown by [`COMPACT_ENTRIES`].
     pub(crate) fn compact(&mut self) {
         let index = self.state.index;
         if index < self.replica.snapshot_index() + COMPACT_ENTRIES {
@@ -94,8 +95,8 @@
         self.quorum_events.push_back(Event::Compact { index, data });
     }
 
-    /// Logs a command at the member that decides; what it applies again after
-    /// its start was logged before.
+    /// Logs an applied command at the control leader only. A member that replays its
+    /// log after a restart does not log the commands again.
     fn log_applied(&self, index: u64, command: &Command, outcome: &Outcome) {
         if self.leader.is_some() {
             let summary = Summary(command);
@@ -110,13 +111,15 @@
         }
     }
 
-    /// Notes when things happened that a later leader must know the time of.
+    /// Records the time of a choice of a primary, which this member needs if it becomes the
+    /// control leader later.
     fn record_choice(&mut self, command: &Command) {
         if matches!(command.body, Some(Body::Choose(_))) && self.leader.is_none() {
             self.control_leadership.last_chosen = Some(self.now());
         }
     }
 
+    /// Records the time of a failover step.
     fn record_failover(&mut self, command: &Command) {
         match &command.body {
             Some(Body::Intend(intend)) => {
--- a/components/member/src/beacon.rs
+++ b/components/member/src/beacon.rs
@@ -1,8 +1,9 @@
-//! Beacons: each member publishes how far it is, over nng.
+//! Beacons: each member publishes its progress over nng.
 //!
-//! Nothing rests on them: they show an operator, at any member, how far the
-//! others are, also when no leader tells. Each carries a MAC under the shared
-//! key and a number that rises, so a forged or repeated one is dropped.
+//! Beacons are informational only: an operator can see the progress of all
+//! members at any one of them, even without a leader. Each beacon carries a MAC
+//! under the shared key and a rising sequence number, so forged and replayed
+//! beacons are dropped.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -17,50 +18,52 @@
 
 use crate::input::{Input, Sender};
 
-/// Longest wait of the receiving thread before it looks whether to end.
+/// Longest wait of the receiving thread between two checks for cancellation.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Bytes of the MAC after a beacon.
+/// Length in bytes of the MAC appended to a beacon.
 const PROOF_BYTES: usize = ::link::key::PROOF_BYTES;
 
-/// What the MAC is bound to besides the beacon.
+/// Context string that the MAC covers besides the beacon.
 const PURPOSE: &[u8] = b"beacon";
 
-/// How far a member is.
+/// Progress of a member.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub(crate) struct Beacon {
-    /// The member.
+    /// Id of the member.
     #[prost(uint64, tag = "1")]
     pub(crate) id: u64,
-    /// When it was sent, in milliseconds of its wall clock; it rises.
+    /// Time of sending in milliseconds of the member's wall clock, used as a rising
+    /// sequence number.
     #[prost(uint64, tag = "2")]
     pub(crate) sequence: u64,
-    /// Last index that it applied.
+    /// Last index that the member applied.
     #[prost(uint64, tag = "3")]
     pub(crate) index: u64,
-    /// Its term.
+    /// Quorum term of the member.
     #[prost(uint64, tag = "4")]
     pub(crate) term: u64,
-    /// The leader it knows of; zero for none.
+    /// Id of the leader that the member knows; zero for none.
     #[prost(uint64, tag = "5")]
     pub(crate) leader: u64,
 }
 
-/// The sockets for beacons.
+/// Sockets that publish and receive beacons.
 #[derive(Debug)]
 pub(crate) struct Beacons {
     key: Key,
     publisher: Socket,
     listener: Listener,
     subscriber: Socket,
+    /// Address and dialer of each subscribed member, by its id.
     dialers: BTreeMap<u64, (String, Dialer)>,
 }
 
 impl Beacons {
-    /// Listens on a free port.
+    /// Opens the sockets and listens on a free port.
     ///
     /// # Errors
-    /// What nng says.
+    /// [`nng::Error`] if a socket can't be opened or the address can't be used.
     pub(crate) fn open(ip: IpAddr, key: Key) -> Result<Self, nng::Error> {
         let publisher = Socket::new(Protocol::Pub0)?;
         let listener = Listener::new(&publisher, &url(ip))?;
@@ -70,20 +73,20 @@
         Ok(Self { key, publisher, listener, subscriber, dialers: BTreeMap::new() })
     }
 
-    /// Where it publishes, for others to dial.
+    /// Address at which this member publishes, for others to dial.
     pub(crate) fn address(&self) -> String {
-        // the option for the local address gives the port's bytes swapped
+        // the `LocalAddr` option returns the port with its bytes swapped
         self.listener.get_opt::<Url>().unwrap_or_default()
     }
 
-    /// Passes what others publish to the core, until the token is cancelled.
+    /// Passes beacons of other members to the core until the token is cancelled.
     pub(crate) fn receive(&self, core: Sender, token: CancellationToken) -> std::io::Result<()> {
         let (socket, key) = (self.subscriber.clone(), self.key.clone());
         let run = move || {
             while !token.is_cancelled() {
                 let Ok(message) = socket.recv() else { continue };
                 if let Some(beacon) = read(&key, message.as_slice()) {
-                    // a full queue may lose it
+                    // a beacon may be dropped if the queue is full
                     drop(core.try_send(Input::Beacon(beacon)));
                 }
             }
@@ -91,7 +94,7 @@
         std::thread::Builder::new().name("beacons".to_owned()).spawn(run).map(drop)
     }
 
-    /// Hears a member from now on, where it publishes at present.
+    /// Subscribes to a member at its current address.
     pub(crate) fn subscribe(&mut self, member: &Member) {
         let known = self.dialers.get(&member.id).is_some_and(|(url, _)| *url == member.beacon);
         if known || member.beacon.is_empty() {
@@ -102,12 +105,12 @@
         }
     }
 
-    /// Stops hearing all but these.
+    /// Unsubscribes from all members that are not listed.
     pub(crate) fn retain(&mut self, listed: impl Fn(u64) -> bool) {
         self.dialers.retain(|id, _| listed(*id));
     }
 
-    /// Publishes a beacon; whoever is not there misses it.
+    /// Publishes a beacon without waiting for subscribers.
     pub(crate) fn publish(&self, beacon: &Beacon) {
         let mut bytes = beacon.encode_to_vec();
         let proof = self.key.prove(&[PURPOSE, &bytes]);
--- a/components/member/src/bootstrap.rs
+++ b/components/member/src/bootstrap.rs
@@ -1,9 +1,10 @@
-//! The first membership.
+//! Bootstrap of the first membership from a static list of peers.
 //!
-//! Ids are drawn with the data folders, so they must be asked for. The member
-//! with the lowest name asks all others; if all of them, and itself, hold no
-//! log, it names the first membership. A host that lost its disk meets members
-//! that do hold one, and waits until an operator adds it under its new id.
+//! Member ids are random and created with the data folders, so members must ask
+//! each other for them. The member with the lowest name asks all others; if none
+//! of them, itself included, holds a log, it proposes the first membership. A
+//! host that lost its disk finds members with a log and waits until an operator
+//! adds it under its new id.
 
 use base::prelude::*;
 use slog::{info, warn};
@@ -14,11 +15,11 @@
 use crate::link::Endpoint;
 use crate::peers;
 
-/// Wait between two rounds of questions.
+/// Delay between two surveys of the peers.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Finds the first membership, if that is this member's task.
-pub(crate) async fn find(peers: Vec<Peer>, endpoint: Endpoint, core: Sender) {
+/// Determines the first membership if this member has the lowest name.
+pub(crate) async fn run(peers: Vec<Peer>, endpoint: Endpoint, core: Sender) {
     let first = peers.iter().map(|peer| peer.name.as_str()).min();
     if first != Some(endpoint.own.name.as_str()) {
         return;
@@ -26,13 +27,13 @@
     loop {
         match survey(&peers, &endpoint).await {
             Survey::Fresh(members) => {
-                info!(endpoint.log, "names the first membership";
+                info!(endpoint.log, "bootstrapping the first membership";
                     "members" => members.members.len());
                 drop(core.send(Input::Bootstrap(members)).await);
                 return;
             }
             Survey::Held(name) => {
-                warn!(endpoint.log, "another member holds a log: waits to be added";
+                warn!(endpoint.log, "another member holds a log; waiting to be added";
                     "holder" => name);
                 return;
             }
@@ -41,12 +42,13 @@
     }
 }
 
+/// State of the peers.
 enum Survey {
-    /// All members, and none holds a log.
+    /// All peers answered, and none holds a log.
     Fresh(Members),
-    /// A member that holds a log.
+    /// The named peer holds a log.
     Held(String),
-    /// Not all answered.
+    /// At least one peer did not answer, or answered under another name.
     Incomplete,
 }
 
--- a/components/member/src/core.rs
+++ b/components/member/src/core.rs
@@ -29,75 +29,84 @@
 use crate::roster::Roster;
 use crate::status::Steps;
 
-/// Inputs taken between two looks at the timer.
+/// Largest number of inputs handled between two checks of the timer.
 const BURST: usize = 256;
 
-/// Ticks of the quorum between two of the control leader.
+/// Quorum ticks per tick of the control leader.
 const CONTROL_TICKS: u64 =
     control::leader::TICK.as_micros() as u64 / quorum::TICK_INTERVAL.as_micros() as u64;
 
-/// Ticks between two beacons.
+/// Quorum ticks between two beacons.
 const BEACON_TICKS: u64 = 20;
 
-/// Ticks between two looks at the membership.
+/// Quorum ticks between two checks of the membership.
 const ROSTER_TICKS: u64 = 20;
 
-/// Ticks between two rounds of tidying.
-const TIDY_TICKS: u64 = 100;
+/// Quorum ticks between two cleanups.
+const CLEANUP_TICKS: u64 = 100;
 
+/// State of the task that owns the member's state machines.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
     pub(crate) own: Member,
+    /// Whether this member has neither log entries nor a snapshot.
     pub(crate) fresh: Arc<AtomicBool>,
     pub(crate) replica: Replica,
     pub(crate) state: State,
     pub(crate) leadership: Leadership,
-    /// Decides for the state while this member leads.
+    /// Control leader, present while this member leads and has applied an entry of
+    /// its own term.
     pub(crate) leader: Option<Leader>,
     pub(crate) writes: Writes,
     pub(crate) links: Links,
     pub(crate) beacons: Option<Beacons>,
-    /// The newest beacon of each member, and when it came.
+    /// Newest beacon of each member and the time of its receipt, by member id.
     pub(crate) beacons_received: BTreeMap<u64, (Beacon, Instant)>,
     pub(crate) probes: Probes,
     pub(crate) followers: Arena<Follower>,
-    /// Entries applied since followers were told.
+    /// Entries applied since the last batch sent to followers.
     pub(crate) applied: Vec<wire::control::Entry>,
-    /// The newest image for entries, and its index.
+    /// Newest image of the state for entries, with its index.
     pub(crate) image: Option<(u64, Bytes)>,
+    /// Proposals without a result, by token.
     pub(crate) proposals: BTreeMap<u64, Pending>,
+    /// Reads that the quorum has yet to confirm, by token.
     pub(crate) reads: BTreeMap<u64, Read>,
-    /// Confirmed reads that wait for their index to be applied.
+    /// Confirmed reads whose index has yet to be applied.
     pub(crate) confirmed: Vec<(u64, Read)>,
+    /// Last token given to a proposal or read.
     pub(crate) token: u64,
-    /// What waits to go to the leader.
+    /// Data to be forwarded to the leader.
     pub(crate) forward: Forward,
+    /// Steps of recent failovers.
     pub(crate) failovers: VecDeque<Steps>,
-    /// Last index that each entry is known to have applied.
+    /// Last index that each entry is known to have applied, by entry name.
     pub(crate) entry_indexes: BTreeMap<String, u64>,
     pub(crate) health: Health,
     pub(crate) meter: Meter,
-    /// When a planned stop began.
+    /// Start of a planned stop, or zero to end the member at once.
     pub(crate) stopping_since: Option<Instant>,
+    /// Number of quorum ticks since the start.
     pub(crate) ticks: u64,
-    /// Events that the quorum has still to take.
+    /// Events that the quorum has yet to process.
     pub(crate) quorum_events: VecDeque<Event>,
     /// Events for the control leader's next tick.
     pub(crate) leader_events: Vec<control::Event>,
-    /// Since when no leader is known.
+    /// Time since which no leader has been known.
     pub(crate) leaderless_since: Option<Instant>,
-    /// When things happened that a leader must know the time of.
+    /// Facts from before an election that a control leader needs.
     pub(crate) control_leadership: control::Leadership,
-    /// Hosts that asked to be members, while this member leads.
+    /// Membership changes to be made while this member leads.
     pub(crate) roster: Roster,
-    /// Whether it has known no leader for some time.
+    /// Whether this member asks to join a membership: set at the start if it has no
+    /// log, and later whenever it has had no leader for too long.
     pub(crate) wants_to_join: Arc<AtomicBool>,
 }
 
 impl Core {
-    /// Runs until the inputs end, the disk fails or a planned stop is over.
+    /// Runs until the inputs end, the disk fails or a planned stop has completed.
     pub(crate) async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut tick = tokio::time::interval(quorum::TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -114,7 +123,7 @@
             }
             for input in burst.drain(..) {
                 if let Input::DiskFailed(report) = input {
-                    crit!(self.log, "the disk failed: the member ends"; "failure" => ?report);
+                    crit!(self.log, "the disk failed; the member stops"; "failure" => ?report);
                     return;
                 }
                 self.on_input(input);
@@ -124,9 +133,10 @@
             self.send_applied();
             self.flush_forward();
         }
-        info!(self.log, "ends as planned");
+        info!(self.log, "planned stop completed");
     }
 
+    /// Whether a planned stop has completed or timed out.
     fn is_drained(&self) -> bool {
         let Some(since) = self.stopping_since else { return false };
         let timed_out = self.now().since(since) >= STOP_TIMEOUT;
@@ -148,7 +158,7 @@
         if self.ticks.is_multiple_of(BEACON_TICKS) {
             self.publish();
         }
-        if self.ticks.is_multiple_of(TIDY_TICKS) {
+        if self.ticks.is_multiple_of(CLEANUP_TICKS) {
             self.clean_up();
         }
         if self.ticks.is_multiple_of(ROSTER_TICKS) {
--- a/components/member/src/disk.rs
+++ b/components/member/src/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the journal.
 //!
-//! Writes that wait are made durable together with one sync.
+//! Queued writes are made durable together with one sync.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -18,33 +18,35 @@
 use crate::host::Failure;
 use crate::input::{Input, Sender};
 
-/// A snapshot as the journal keeps it.
+/// A snapshot as stored in the journal.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StoredSnapshot {
-    /// Index of the last entry in it.
+    /// Index of the last entry that the snapshot covers.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last entry that the snapshot covers.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Membership at that entry.
+    /// Membership at the index of the snapshot.
     #[prost(message, optional, tag = "3")]
     pub members: Option<Members>,
-    /// The encoded state.
+    /// Encoded state.
     #[prost(bytes = "bytes", tag = "4")]
     pub data: Bytes,
 }
 
-/// What a data folder holds.
+/// Contents of an opened data folder.
 #[derive(Debug)]
 pub(crate) struct Opened {
+    /// Id of the member.
     pub(crate) id: u64,
     pub(crate) journal: Journal<Folder>,
     pub(crate) stored: Stored,
+    /// Bytes of an incomplete write that were cut off the journal's end.
     pub(crate) cut_bytes: u64,
 }
 
-/// Opens a data folder; a new one gets `drawn` as its id.
+/// Opens a data folder; a new folder is given the id `new_id`.
 pub(crate) fn open(path: &Path, new_id: u64) -> Result<Opened, Report<Failure>> {
     let failure = || Failure::Data { path: path.to_owned() };
     let mut folder = Folder::open(path).change_context_lazy(failure)?;
@@ -55,10 +57,10 @@
     Ok(Opened { id, journal, stored, cut_bytes })
 }
 
-/// Reads a data folder that no process holds, and changes nothing in it.
+/// Reads a data folder that no process uses, without changing it.
 ///
 /// # Errors
-/// [`Failure::Data`].
+/// [`Failure::Data`] if the folder is missing or can't be read.
 pub fn inspect(path: &Path) -> Result<Stored, Report<Failure>> {
     let failure = || Failure::Data { path: path.to_owned() };
     if !path.is_dir() {
@@ -81,7 +83,7 @@
     Ok(Stored { hard, snapshot, entries: entries.collect::<Result<_, _>>()? })
 }
 
-/// The thread, as its owner sees it.
+/// Handle of the journal thread.
 #[derive(Debug)]
 pub(crate) struct Disk {
     writes: mpsc::Sender<Write>,
@@ -89,11 +91,11 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// The way to the thread.
+/// Sender of writes to the journal thread.
 pub(crate) type Writes = mpsc::Sender<Write>;
 
 impl Disk {
-    /// Starts the thread; it ends when all of its [`Writes`] are gone.
+    /// Starts the thread, which ends when all of its [`Writes`] are dropped.
     pub(crate) fn start(journal: Journal<Folder>, core: Sender) -> std::io::Result<Self> {
         let (writes, due) = mpsc::channel();
         let killed = Arc::new(AtomicBool::new(false));
@@ -107,7 +109,7 @@
         self.writes.clone()
     }
 
-    /// Ends the thread after the write that it is at, and lets the folder go.
+    /// Ends the thread after the current write, and releases the folder.
     pub(crate) fn kill(&mut self) {
         self.killed.store(true, Ordering::Release);
         drop(self.writes.send(Write::default()));
@@ -159,8 +161,8 @@
     }
 }
 
-/// Adds a batch to those that wait, as part of the last one where that means
-/// the same.
+/// Appends a batch to the queue, merged into the last one if neither has a
+/// snapshot.
 fn join(batches: &mut Vec<Batch>, next: Batch) {
     match batches.last_mut() {
         Some(last) if last.snapshot.is_none() && next.snapshot.is_none() => {
--- a/components/member/src/effects.rs
+++ b/components/member/src/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the quorum log wants done.
+//! Executes the effects of the quorum state machine.
 
 use std::sync::atomic::Ordering;
 
@@ -12,21 +12,21 @@
 use crate::input::Completion;
 
 impl Core {
-    /// Lets the quorum take all events that are due.
+    /// Passes all queued events to the quorum and executes their effects.
     pub(crate) fn process_events(&mut self) {
         let mut effects = Vec::new();
         while let Some(event) = self.quorum_events.pop_front() {
             let now = self.now();
             self.replica.on(now, event, &mut effects);
             for effect in effects.drain(..) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
-            // a disk thread that is gone has told why
+            // a disk thread that ended has reported its failure
             Effect::Persist(write) => drop(self.writes.send(write)),
             Effect::Send(message) => self.send(message),
             Effect::Apply(entry) => self.apply(&entry),
@@ -66,7 +66,8 @@
     }
 
     fn set_leadership(&mut self, leadership: Leadership) {
-        info!(self.log, "plays a part"; "term" => leadership.term, "leads" => leadership.leads,
+        info!(self.log, "leadership changed"; "term" => leadership.term,
+            "leads" => leadership.leads,
             "leader" => leadership.leader.and_then(|id| self.name_of(id)));
         let has_leader = leadership.leader.is_some();
         self.health.set_ready(has_leader && self.stopping_since.is_none());
@@ -75,7 +76,7 @@
         if leadership.leads && !self.leadership.leads {
             self.meter.elections.inc();
         }
-        // it is made once an entry of its own term is applied
+        // the control leader is created once an entry of the new term is applied
         self.leader = None;
         self.leadership = leadership;
     }
@@ -86,13 +87,13 @@
         members.iter().find(|member| member.id == id).map(|member| member.name.clone())
     }
 
-    /// The next number of a proposal or read.
+    /// Returns the next token for a proposal or read.
     pub(crate) fn next_token(&mut self) -> u64 {
         self.token += 1;
         self.token
     }
 
-    /// How long no leader has been known.
+    /// Time for which no leader has been known.
     pub(crate) fn leaderless_for(&self) -> Duration {
         self.leaderless_since.map_or(Duration::ZERO, |since| self.now().since(since))
     }
--- a/components/member/src/entry.rs
+++ b/components/member/src/entry.rs
@@ -1,5 +1,5 @@
-//! The link of an entry: what it sends goes to the core, and what the core
-//! has for it goes out.
+//! The link of an entry: received messages go to the core, and messages of the
+//! core go to the entry.
 
 use ::link::{Failure, Reader, Writer};
 use base::prelude::*;
@@ -10,16 +10,17 @@
 use crate::input::{Input, Sender};
 use crate::link::Endpoint;
 
-/// Messages that may wait for one entry; a slower one is dropped and comes back.
+/// Length of an entry's send queue. An entry whose queue is full is disconnected and
+/// reconnects.
 const QUEUE: usize = 512;
 
-/// Messages that are written at once.
+/// Largest number of messages written per flush.
 const BURST: usize = 64;
 
-/// Longest wait for an entry's first message.
+/// Longest wait for the first message of an entry.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Serves an entry until its link ends or the core drops it.
+/// Serves an entry until the link ends or the core drops the follower.
 pub(crate) async fn serve(
     mut reader: Reader,
     mut writer: Writer,
@@ -84,7 +85,7 @@
     while due.recv_many(&mut burst, BURST).await > 0 {
         for down in burst.drain(..) {
             if endpoint.is_isolated() {
-                // a gap would look like a broken member, so the link ends
+                // a gap in the entries would look like a faulty member, so the link is closed
                 return Err(Report::new(Failure::Cut));
             }
             writer.put(&down)?;
--- a/components/member/src/event.rs
+++ b/components/member/src/event.rs
@@ -1,4 +1,4 @@
-//! What is logged of each command that was applied.
+//! Descriptions of applied commands for the log.
 
 use std::fmt;
 
@@ -6,11 +6,11 @@
 use wire::log::Command;
 use wire::log::command::Body;
 
-/// A command in a few words: what it is and whom it concerns.
+/// Summary of a command: its kind, and the object that it concerns.
 pub(crate) struct Summary<'a>(pub(crate) &'a Command);
 
 impl Summary<'_> {
-    /// What kind of command it is.
+    /// Kind of the command.
     pub(crate) fn kind(&self) -> &'static str {
         match &self.0.body {
             Some(Body::Configure(_)) => "configure",
@@ -74,7 +74,7 @@
     }
 }
 
-/// An outcome in a word.
+/// Short text of an outcome.
 pub(crate) fn outcome(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Applied => "applied".to_owned(),
--- a/components/member/src/follower.rs
+++ b/components/member/src/follower.rs
@@ -14,38 +14,40 @@
 use crate::core::Core;
 use crate::pending::Read;
 
-/// Piece of an image in bytes.
+/// Size in bytes of one piece of an image.
 const CHUNK_BYTES: usize = 256 << 10;
 
-/// Commands in one message.
+/// Largest number of commands in one message.
 const BATCH_COMMANDS: usize = 256;
 
-/// Commands that an entry may lack and still be sent them one by one.
+/// Largest number of missing commands that are sent one by one; an entry that lacks
+/// more receives an image of the state.
 const MAX_CATCH_UP_COMMANDS: u64 = 4_096;
 
-/// Time without a leader after which entries are sent to other members.
+/// Time without a leader after which entries are refused, so that they connect to
+/// other members.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Leases given up that wait to be told to the leader, for one entry.
-const MAX_RETURNED_PULSES: usize = 16;
+/// Largest number of unconfirmed heartbeats with returned leases kept for one entry.
+const MAX_RETURNED_HEARTBEATS: usize = 16;
 
-/// An entry that follows.
+/// An entry that follows the log.
 #[derive(Debug)]
 pub(crate) struct Follower {
     join: Join,
     sender: mpsc::Sender<Down>,
-    /// Index that it is sent next.
+    /// Index of the next command to send.
     next: u64,
-    /// What it sees at present.
+    /// Current symptoms of backend servers that the entry reported, one per group.
     symptoms: Vec<Symptom>,
-    /// Its newest seal of each group.
+    /// Newest seal of each group that the entry reported.
     seals: Vec<Seal>,
-    /// Pulses with leases given up that were not confirmed.
+    /// Unconfirmed heartbeats that contain returned leases.
     returned: Vec<Pulse>,
 }
 
 impl Core {
-    /// An entry begins to follow.
+    /// Registers an entry as a follower and sends it the missing part of the log.
     pub(crate) fn open(
         &mut self,
         follow: Follow,
@@ -72,14 +74,14 @@
         self.notify_leader(control::Event::Joined(join));
     }
 
-    /// Tells a follower where the members listen.
+    /// Sends a follower the addresses of the members.
     fn send_members(&mut self, key: Key<Follower>) {
         let members = &self.replica.members().members;
         let links = members.iter().map(|member| member.link.clone()).collect();
         self.enqueue(key, Down { body: Some(down::Body::Members(Members { links })) });
     }
 
-    /// Tells all followers where the members listen now.
+    /// Sends all followers the current addresses of the members.
     pub(crate) fn broadcast_members(&mut self) {
         let keys: Vec<_> = self.followers.iter().map(|(key, _)| key).collect();
         for key in keys {
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Sends a follower what it lacks: commands, or the whole state.
+    /// Sends a follower the commands that it lacks, or the whole state.
     fn catch_up(&mut self, key: Key<Follower>) {
         let applied = self.state.index;
         let Some(follower) = self.followers.get_mut(key) else { return };
@@ -117,6 +119,7 @@
         }
     }
 
+    /// Sends a follower the whole state in pieces.
     fn send_image(&mut self, key: Key<Follower>) {
         let index = self.state.index;
         let state = self.image();
@@ -131,7 +134,7 @@
         }
     }
 
-    /// The state for entries; many that come back together share one.
+    /// Encoded state for entries, shared by all entries that reconnect at the same index.
     fn image(&mut self) -> Bytes {
         let index = self.state.index;
         match &self.image {
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Queues a message for a follower; one that is too slow is dropped.
+    /// Queues a message for a follower, and drops the follower if its queue is full.
     pub(crate) fn enqueue(&mut self, key: Key<Follower>, down: Down) {
         let Some(follower) = self.followers.get(key) else { return };
         if follower.sender.try_send(down).is_err() {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Sends followers what was applied since the last call.
+    /// Sends followers the entries applied since the last call.
     pub(crate) fn send_applied(&mut self) {
         let applied = std::mem::take(&mut self.applied);
         let Some(last) = applied.last().map(|entry| entry.index) else { return };
@@ -171,7 +174,7 @@
         }
     }
 
-    /// After a snapshot took the state's place, followers get the whole of it.
+    /// Sends followers the whole state after a snapshot replaced it.
     pub(crate) fn restore_followers(&mut self) {
         let keys: Vec<_> = self.followers.iter().map(|(key, _)| key).collect();
         for key in keys {
@@ -179,12 +182,12 @@
         }
     }
 
-    /// A beat is confirmed by a read that begins now; the leader hears of it
-    /// in the same message.
+    /// Handles a heartbeat: starts the read that confirms it. The leader
+    /// receives the heartbeat in the same message as the read.
     pub(crate) fn on_heartbeat(&mut self, key: Key<Follower>, beat: Beat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         let returned = std::mem::take(&mut follower.returned);
-        let pulse = Pulse {
+        let heartbeat = Pulse {
             join: Some(follower.join.clone()),
             applied: beat.applied,
             returned: beat.returned,
@@ -192,24 +195,25 @@
             seals: follower.seals.clone(),
         };
         self.entry_indexes.insert(follower.join.entry.clone(), beat.applied);
-        for pulse in returned {
-            let note = pulse.encode_to_vec().into();
-            self.read(Read::ReturnedLeases { key, pulse }, Some(note));
+        for heartbeat in returned {
+            let note = heartbeat.encode_to_vec().into();
+            self.read(Read::ReturnedLeases { key, heartbeat }, Some(note));
         }
-        let note = pulse.encode_to_vec().into();
-        self.read(Read::Heartbeat { key, sequence: beat.sequence, pulse }, Some(note));
+        let note = heartbeat.encode_to_vec().into();
+        self.read(Read::Heartbeat { key, sequence: beat.sequence, heartbeat }, Some(note));
     }
 
-    /// Keeps leases given up for the next beat. They go with the index that
-    /// the entry had applied then.
-    pub(crate) fn retain_returned(&mut self, key: Key<Follower>, pulse: Pulse) {
+    /// Keeps the returned leases of an unconfirmed heartbeat, to be sent with the next
+    /// one. The kept heartbeat contains the index that the entry had applied when it
+    /// returned the leases.
+    pub(crate) fn retain_returned(&mut self, key: Key<Follower>, heartbeat: Pulse) {
         let Some(follower) = self.followers.get_mut(key) else { return };
-        if !pulse.returned.is_empty() && follower.returned.len() < MAX_RETURNED_PULSES {
-            follower.returned.push(Pulse { symptoms: Vec::new(), ..pulse });
+        if !heartbeat.returned.is_empty() && follower.returned.len() < MAX_RETURNED_HEARTBEATS {
+            follower.returned.push(Pulse { symptoms: Vec::new(), ..heartbeat });
         }
     }
 
-    /// What a keeper sees goes to the leader at once, and with each beat.
+    /// Forwards a keeper's symptom to the leader at once, and repeats it with each heartbeat.
     pub(crate) fn report_symptom(&mut self, key: Key<Follower>, symptom: Symptom) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         follower.symptoms.retain(|known| known.group != symptom.group);
@@ -220,7 +224,7 @@
         self.forward.sights.push(Seen { entry, symptom: Some(symptom) });
     }
 
-    /// A keeper's seal goes to the leader at once, and with each beat.
+    /// Forwards a keeper's seal to the leader at once, and repeats it with each heartbeat.
     pub(crate) fn report_seal(&mut self, key: Key<Follower>, seal: Seal) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         follower.seals.retain(|known| known.group != seal.group);
@@ -230,21 +234,21 @@
         self.forward.seals.push(Sealed { entry, incarnation, seal: Some(seal) });
     }
 
-    /// An entry stopped.
+    /// Reports the planned stop of an entry to the leader.
     pub(crate) fn report_leave(&mut self, key: Key<Follower>) {
         let Some(follower) = self.followers.get(key) else { return };
         let (entry, incarnation) = (follower.join.entry.clone(), follower.join.incarnation);
         self.forward.leaves.push(Part { entry, incarnation, over: true });
     }
 
-    /// Sends entries elsewhere when this member has lost its leader.
+    /// Refuses all entries once this member has had no leader for [`LEADERLESS_TIMEOUT`].
     pub(crate) fn refuse_if_leaderless(&mut self) {
         if !self.followers.is_empty() && self.leaderless_for() >= LEADERLESS_TIMEOUT {
             self.refuse_all();
         }
     }
 
-    /// Sends all entries elsewhere.
+    /// Refuses all entries, so that they connect to other members.
     pub(crate) fn refuse_all(&mut self) {
         let keys: Vec<_> = self.followers.iter().map(|(key, _)| key).collect();
         for key in keys {
@@ -254,6 +258,7 @@
     }
 }
 
+/// Converts a log entry to the message for followers.
 fn entry_message(entry: &wire::quorum::Entry) -> wire::control::Entry {
     let command = match &entry.body {
         Some(wire::quorum::entry::Body::Command(bytes)) => {
@@ -264,7 +269,7 @@
     wire::control::Entry { index: entry.index, command }
 }
 
-/// A command as entries get it: the document of an edition is for members only.
+/// Removes the document of an edition from a command, since only members need it.
 pub(crate) fn without_document(mut command: Command) -> Command {
     if let Some(Body::Replace(replace)) = &mut command.body {
         replace.document = Bytes::new();
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -31,52 +31,52 @@
 use crate::roster::{self, Roster};
 use crate::{bootstrap, join, link, web};
 
-/// Longest time that a planned stop tries to hand over leadership.
+/// Longest time that a planned stop waits for the transfer of leadership.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Settings of a member.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of its host.
+    /// Name of the member's host.
     pub name: Name,
     /// Data folder.
     pub data: PathBuf,
-    /// Where members and entries dial; port 0 takes a free one.
+    /// Address for links of members and entries; port 0 selects a free port.
     pub link: SocketAddr,
-    /// Where HTTP is served; port 0 takes a free one.
+    /// Address of the HTTP interface; port 0 selects a free port.
     pub web: SocketAddr,
-    /// Key that the system's processes share.
+    /// Key shared by all processes of the system.
     pub key: ::link::Key,
-    /// Where it logs.
+    /// Logger of the member.
     pub log: Logger,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
     /// Seed of the timers' jitter.
     pub seed: u64,
-    /// Whether it publishes how far it is.
+    /// Whether the member publishes its progress in beacons.
     pub beacons: bool,
-    /// The way to servers that acknowledge by themselves, where groups have such.
+    /// Access to the servers of unfenced groups, if any exist.
     pub adapter: Option<Arc<dyn Outside>>,
 }
 
-/// How a member without a log comes to a membership.
+/// Source of the membership for a member without a log.
 #[derive(Clone, Debug)]
 pub enum Origin {
-    /// The first membership, itself included.
+    /// Static list of all peers of the first membership, this member included.
     Peers(Vec<Peer>),
     /// Addresses at which members may be found.
     Seeds(Seeds),
 }
 
-/// Where members may be found.
+/// Addresses at which members may be found.
 #[derive(Clone, Debug)]
 pub struct Seeds {
-    /// Links; they may change while the process runs.
+    /// Link addresses, which may change while the process runs.
     pub links: watch::Receiver<Vec<SocketAddr>>,
-    /// Whether the seeds may found the first membership: the system starts for
-    /// the first time.
+    /// Whether the seeds may bootstrap the first membership, because the system starts
+    /// for the first time.
     pub founding: bool,
-    /// Members that may be lost at once, with their disks.
+    /// Number of members that may be lost at once, including their disks.
     pub tolerance: usize,
 }
 
@@ -89,27 +89,27 @@
 /// A member of the first membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Name of its host.
+    /// Name of the member's host.
     pub name: Name,
-    /// Where it takes links.
+    /// Address for links.
     pub link: SocketAddr,
-    /// Where it serves HTTP.
+    /// Address of the HTTP interface.
     pub web: SocketAddr,
 }
 
-/// Where a member listens.
+/// Addresses at which a member listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Links.
+    /// Address for links.
     pub link: SocketAddr,
-    /// HTTP.
+    /// Address of the HTTP interface.
     pub web: SocketAddr,
 }
 
-/// Why a member can't start.
+/// Failure to start a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// An address can't be listened on.
+    /// The member can't listen on an address.
     Listen {
         /// The address.
         address: SocketAddr,
@@ -132,7 +132,7 @@
 
 impl std::error::Error for Failure {}
 
-/// A member whose addresses and data folder are taken.
+/// A member that has bound its addresses and opened its data folder.
 #[derive(Debug)]
 pub struct Bound {
     settings: Settings,
@@ -144,10 +144,11 @@
     inputs: mpsc::Receiver<Input>,
 }
 
-/// Takes a member's addresses and data folder.
+/// Binds a member's addresses and opens its data folder.
 ///
 /// # Errors
-/// [`Failure`], with what the system says attached.
+/// [`Failure`] if an address or the data folder can't be used, with the system error
+/// attached.
 pub async fn bind(settings: Settings) -> Result<Bound, Report<Failure>> {
     let link = listen(settings.link).await?;
     let web = listen(settings.web).await?;
@@ -156,7 +157,7 @@
     };
     let addresses =
         Addresses { link: address(&link, settings.link)?, web: address(&web, settings.web)? };
-    let opened = disk::open(&settings.data, draw_id())?;
+    let opened = disk::open(&settings.data, random_id())?;
     let (core, inputs) = mpsc::channel(input::QUEUE);
     Ok(Bound { settings, link, web, addresses, opened, core, inputs })
 }
@@ -165,26 +166,27 @@
     TcpListener::bind(address).await.change_context(Failure::Listen { address })
 }
 
-fn draw_id() -> u64 {
+/// Generates a random id; zero is reserved for none.
+fn random_id() -> u64 {
     rand::rng().next_u64().max(1)
 }
 
 impl Bound {
-    /// Where it listens.
+    /// Addresses at which the member listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// What a program may ask of the member once it runs.
+    /// Handle for requests to the member once it runs.
     pub fn api(&self) -> Api {
         Api::new(self.core.clone())
     }
 
-    /// Starts the member. A data folder that knows a membership goes by that.
-    /// `extra` is served beside the member's own routes.
+    /// Starts the member. A membership in the data folder takes precedence over
+    /// `origin`. The routes of `extra` are served in addition to the member's own.
     ///
     /// # Errors
-    /// [`Failure::Data`] when the data holds a state that can't be read.
+    /// [`Failure::Data`] if the data folder holds a state that can't be decoded.
     pub fn start(
         self,
         origin: impl Into<Origin>,
@@ -197,11 +199,11 @@
         let mut own = own(&settings, addresses, &origin, opened.id);
         let open = || Beacons::open(addresses.link.ip(), settings.key.clone());
         let beacons = settings.beacons.then(open).and_then(|beacons| {
-            beacons.inspect_err(|error| warn!(log, "no beacons"; "error" => %error)).ok()
+            beacons.inspect_err(|error| warn!(log, "beacons disabled"; "error" => %error)).ok()
         });
         own.beacon = beacons.as_ref().map(Beacons::address).unwrap_or_default();
-        info!(log, "starts"; "id" => own.id, "link" => own.link.clone(), "web" => own.web.clone(),
-            "cut_bytes" => opened.cut_bytes);
+        info!(log, "starting the member"; "id" => own.id, "link" => own.link.clone(),
+            "web" => own.web.clone(), "cut_bytes" => opened.cut_bytes);
 
         let scope = Scope::default();
         let mut disk = Disk::start(opened.journal, core.clone()).change_context_lazy(failure)?;
@@ -211,7 +213,7 @@
             report.change_context(failure())
         })?;
         let now = settings.clock.now();
-        let seed = settings.seed ^ draw_id();
+        let seed = settings.seed ^ random_id();
         let tolerance = match &origin {
             Origin::Peers(_) => None,
             Origin::Seeds(seeds) => Some(seeds.tolerance),
@@ -240,7 +242,7 @@
         scope.spawn(link::serve(listener, endpoint.clone(), core.clone(), scope.clone()));
         match origin {
             Origin::Peers(peers) if replica.is_fresh() => {
-                scope.spawn(bootstrap::find(peers, endpoint.clone(), core.clone()));
+                scope.spawn(bootstrap::run(peers, endpoint.clone(), core.clone()));
             }
             Origin::Peers(_) => {}
             Origin::Seeds(seeds) => scope.spawn(join::run(seeds, endpoint.clone(), core.clone())),
@@ -271,7 +273,7 @@
             proposals: BTreeMap::new(),
             reads: BTreeMap::new(),
             confirmed: Vec::new(),
-            token: draw_id() >> 1,
+            token: random_id() >> 1,
             forward: wire::quorum::Forward::default(),
             failovers: std::collections::VecDeque::new(),
             entry_indexes: BTreeMap::new(),
@@ -312,7 +314,7 @@
     }
 }
 
-/// Tasks that end together.
+/// Group of tasks that are cancelled together.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Scope {
     pub(crate) token: CancellationToken,
@@ -320,7 +322,7 @@
 }
 
 impl Scope {
-    /// Spawns a task that is dropped when the scope ends.
+    /// Spawns a task that is dropped when the scope is cancelled.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let token = self.token.clone();
         self.tracker.spawn(async move {
@@ -329,7 +331,7 @@
     }
 }
 
-/// A member that runs.
+/// Handle of a running member.
 #[derive(Debug)]
 pub struct Handle {
     core: input::Sender,
@@ -340,22 +342,24 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// Addresses at which the member listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Completes when the member has ended, also by itself, as on a failed disk.
+    /// Completes when the member has ended, including after a disk failure.
     pub async fn ended(&self) {
         self.scope.token.cancelled().await;
     }
 
-    /// Cuts the member off from members and entries, in silence, or ends that.
+    /// Starts or ends an isolation, in which the member silently drops all traffic with
+    /// members and entries.
     pub fn isolate(&self, isolated: bool) {
         self.isolated.store(isolated, std::sync::atomic::Ordering::Release);
     }
 
-    /// A planned stop: hands leadership over, finishes answers, ends.
+    /// Performs a planned stop: transfers leadership, completes pending answers, and
+    /// ends the member.
     pub async fn stop(mut self) {
         if self.core.send(Input::Stop).await.is_ok() {
             drop(tokio::time::timeout(STOP_TIMEOUT, self.scope.token.cancelled()).await);
@@ -366,7 +370,7 @@
         self.disk.kill();
     }
 
-    /// Drops everything at once, as a crash would; what is not synced is lost.
+    /// Ends the member at once as a crash would; writes that are not synced are lost.
     pub fn kill(mut self) {
         self.scope.token.cancel();
         self.disk.kill();
--- a/components/member/src/input.rs
+++ b/components/member/src/input.rs
@@ -1,4 +1,4 @@
-//! All that reaches the core.
+//! Inputs of the core.
 
 use base::prelude::*;
 use tokio::sync::{mpsc, oneshot};
@@ -10,70 +10,70 @@
 use crate::follower::Follower;
 use crate::status::{Config, Status};
 
-/// Inputs that may wait.
+/// Length of the core's input queue.
 pub(crate) const QUEUE: usize = 4_096;
 
-/// The way into the core.
+/// Sender of inputs to the core.
 pub(crate) type Sender = mpsc::Sender<Input>;
 
-/// What reaches the core.
+/// Input of the core.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// A member dialled this one; `asks` when it has no leader and wants to join.
+    /// A member dialled this one; `wants_to_join` if it has no leader and asks to join.
     Hello { member: Member, wants_to_join: bool },
-    /// A message of a member.
+    /// A message from another member.
     Message(Message),
-    /// A write and all before it are durable.
+    /// The write with this token and all earlier ones are durable.
     Persisted(u64),
-    /// What a member published.
+    /// A beacon that another member published.
     Beacon(Beacon),
-    /// The disk failed; the member ends.
+    /// The disk failed, so the member stops.
     DiskFailed(Report<journal::Failure>),
-    /// The first membership is known.
+    /// The first membership, determined by this member.
     Bootstrap(Members),
-    /// An entry follows.
+    /// An entry begins to follow the log.
     Follow { follow: Follow, sender: mpsc::Sender<Down>, reply: oneshot::Sender<Key<Follower>> },
-    /// An entry beats.
+    /// A heartbeat of an entry.
     Heartbeat { key: Key<Follower>, beat: Beat },
-    /// A keeper saw something.
+    /// A keeper reported a symptom of a backend server.
     Symptom { key: Key<Follower>, symptom: Symptom },
     /// A keeper sealed a group.
     Seal { key: Key<Follower>, seal: Seal },
-    /// An entry stopped.
+    /// An entry announced its planned stop.
     Leave { key: Key<Follower> },
-    /// An entry's link ended.
+    /// The link of an entry ended.
     Closed { key: Key<Follower> },
-    /// A probe ended.
+    /// A probe of a backend server completed.
     Probed(control::Event),
     /// A backend server announced itself.
     Announce { announce: Announce, reply: oneshot::Sender<Result<(), NoLeader>> },
-    /// A backend server said that it is gone for good.
+    /// A backend server announced that it is permanently gone.
     Retire { server: Name, reply: oneshot::Sender<Completion> },
-    /// A command from outside.
+    /// A command proposed by an HTTP client or the hosting program.
     Propose { command: Command, reply: oneshot::Sender<Completion> },
-    /// A change of membership from outside.
+    /// A membership change requested by an operator.
     Change { change: quorum::Change, reply: oneshot::Sender<Completion> },
-    /// The declarations, by a confirmed read.
+    /// A request for the declarations through a confirmed read.
     Config { reply: oneshot::Sender<Result<Config, NoLeader>> },
-    /// What this member knows.
+    /// A request for the status of this member.
     Status { reply: oneshot::Sender<Status> },
-    /// A planned stop: hand over leadership, then end.
+    /// A planned stop, which transfers leadership before the member ends.
     Stop,
 }
 
-/// No leader is known, or it was lost before it answered.
+/// No leader is known, or the leader was lost before it answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NoLeader;
 
-/// What became of a proposal.
+/// Result of a proposal.
 #[derive(Clone, Debug)]
 pub(crate) enum Completion {
-    /// It is committed and applied here.
+    /// The command is committed and has been applied by this member.
     Applied { index: u64, outcome: control::Outcome },
-    /// The membership is committed.
+    /// The membership change is committed.
     Changed { index: u64 },
-    /// It was given up.
+    /// The proposal was dropped; `not_run` if it can't have been committed.
     Dropped { not_run: bool },
-    /// A change of membership was refused.
+    /// The membership change was refused.
     Refused(Refusal),
 }
--- a/components/member/src/join.rs
+++ b/components/member/src/join.rs
@@ -1,10 +1,10 @@
-//! From seeds to a membership.
+//! Bootstrap from seeds, and joining an existing membership.
 //!
-//! Seeds found the first membership: each asks the others, and if all of them hold
-//! no log, the one with the lowest address names them and itself. Any other
-//! member that knows no leader dials seeds and members, whose leader then adds
-//! it; that holds for a new host, for one that lost its disk, and for one that
-//! was removed while it was away.
+//! Seeds bootstrap the first membership: each asks the others, and if none of them
+//! holds a log, the seed with the lowest address proposes a membership of all
+//! seeds that have a disk. Any other member without a leader dials the known
+//! seeds and members, whose leader then adds it. This covers a new host, a host
+//! that lost its disk, and a host that was removed while it was unreachable.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -18,13 +18,13 @@
 use crate::link::Endpoint;
 use crate::peers;
 
-/// Wait between two rounds while there is something to do.
+/// Delay between two rounds of dialling while this member bootstraps or joins.
 const DIAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Wait between two looks at whether there is.
+/// Delay between two checks whether this member must join.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs as long as the member does.
+/// Bootstraps or joins a membership; runs until the member stops.
 pub(crate) async fn run(seeds: Seeds, endpoint: Endpoint, core: Sender) {
     if seeds.founding && endpoint.fresh.load(Ordering::Acquire) {
         bootstrap(&seeds, &endpoint, &core).await;
@@ -38,13 +38,14 @@
     }
 }
 
+/// Addresses of the seeds except this member's own.
 fn others(seeds: &Seeds, own: Option<SocketAddr>) -> Vec<SocketAddr> {
     let mut links = seeds.links.borrow().clone();
     links.retain(|link| Some(*link) != own);
     links
 }
 
-/// Founds the first membership, if that is this member's task.
+/// Bootstraps the first membership if this member is the seed with the lowest address.
 async fn bootstrap(seeds: &Seeds, endpoint: &Endpoint, core: &Sender) {
     let own: Option<SocketAddr> = endpoint.own.link.parse().ok();
     let Some(own) = own.filter(|own| seeds.links.borrow().contains(own)) else { return };
@@ -52,11 +53,12 @@
         match survey(seeds, endpoint, own).await {
             Survey::Incomplete => tokio::time::sleep(DIAL_INTERVAL).await,
             Survey::Held { link } => {
-                info!(endpoint.log, "another member holds a log: asks to join"; "link" => %link);
+                info!(endpoint.log, "another member holds a log; asking to join"; "link" => %link);
                 return;
             }
             Survey::Fresh { first, members } if first == own => {
-                info!(endpoint.log, "names the first membership"; "members" => members.len());
+                info!(endpoint.log, "bootstrapping the first membership";
+                    "members" => members.len());
                 drop(core.send(Input::Bootstrap(Members { members })).await);
                 return;
             }
@@ -65,17 +67,19 @@
     }
 }
 
-/// What the seeds are.
+/// State of the seeds.
 enum Survey {
-    /// Not all answered.
+    /// At least one seed did not answer.
     Incomplete,
-    /// One of them holds a log.
+    /// The seed at this address holds a log.
     Held { link: SocketAddr },
-    /// None does; those that can be members, and the lowest address of these.
+    /// No seed holds a log. Contains the seeds that can be members, and the lowest
+    /// address among them.
     Fresh { first: SocketAddr, members: Vec<Member> },
 }
 
-/// Asks all other seeds. A host without a disk stands by and is no member.
+/// Asks all other seeds for their state. A standby host without a disk answers
+/// without a member and is not counted.
 async fn survey(seeds: &Seeds, endpoint: &Endpoint, own: SocketAddr) -> Survey {
     let mut members = vec![Member { voter: true, ..endpoint.own.clone() }];
     let mut first = own;
@@ -94,7 +98,7 @@
     Survey::Fresh { first, members }
 }
 
-/// Dials the seeds, so that the leader hears of this member.
+/// Dials the seeds, so that the leader learns of this member.
 async fn dial_seeds(seeds: &Seeds, endpoint: &Endpoint) {
     let own = endpoint.own.link.parse().ok();
     let dial = |link| async move { drop(peers::exchange_hello(link, endpoint).await) };
--- a/components/member/src/leader.rs
+++ b/components/member/src/leader.rs
@@ -1,4 +1,4 @@
-//! The control leader, while this member leads; and what others send it.
+//! The control leader of this member, and messages forwarded to it.
 
 use base::prelude::*;
 use control::{Ask, Effect, Event};
@@ -15,7 +15,7 @@
 use crate::pending::{Designation, Read};
 
 impl Core {
-    /// Lets the control leader take an event, if this member leads.
+    /// Passes an event to the control leader if this member leads.
     pub(crate) fn notify_leader(&mut self, event: Event) {
         let now = self.now();
         let Some(leader) = &mut self.leader else { return };
@@ -41,18 +41,18 @@
         }
     }
 
-    /// Has a server designated, now that a quorum has confirmed the leader.
+    /// Requests the designation of a server after a quorum has confirmed the leader.
     pub(crate) fn designate(&mut self, designation: Designation) {
         if self.leader.is_none() {
             return;
         }
         let Designation { group, server, address, ask } = designation;
-        info!(self.log, "designates a primary"; "group" => %group, "server" => %server,
+        info!(self.log, "designating a primary"; "group" => %group, "server" => %server,
             "term" => self.leadership.term);
         self.leader_events.extend(self.probes.ask(group, server, address, ask, true));
     }
 
-    /// One tick of the control leader.
+    /// Runs one tick of the control leader.
     pub(crate) fn tick_leader(&mut self) {
         for event in std::mem::take(&mut self.leader_events) {
             self.notify_leader(event);
@@ -60,7 +60,7 @@
         self.notify_leader(Event::Tick);
     }
 
-    /// A backend server announced itself here.
+    /// Queues the announcement of a backend server for the leader.
     pub(crate) fn announce(
         &mut self,
         announce: Announce,
@@ -73,7 +73,7 @@
         drop(reply.send(if has_leader { Ok(()) } else { Err(NoLeader) }));
     }
 
-    /// Passes on to the leader what waits for it.
+    /// Sends the queued data to the leader.
     pub(crate) fn flush_forward(&mut self) {
         if self.forward == Forward::default() {
             return;
@@ -87,14 +87,14 @@
             Some(to) => {
                 let (from, term) = (self.own.id, self.leadership.term);
                 let body = Some(Body::Forward(forward));
-                // each part is told again by its source
+                // a lost message needs no retry here, since each source repeats its report
                 let _sent = self.links.send(Message { from, to, term, body });
             }
             None => {}
         }
     }
 
-    /// What a member passed on.
+    /// Handles data that a member forwarded to the leader.
     pub(crate) fn on_forward(&mut self, forward: Forward) {
         for announce in forward.announces {
             self.notify_leader(Event::Announced(announce));
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A beat that came to any member, before it is confirmed.
+    /// Handles a heartbeat that an entry sent to any member, before it is confirmed.
     pub(crate) fn on_heartbeat_note(&mut self, note: &[u8]) {
         let Ok(Pulse { join: Some(join), applied, returned, symptoms, seals }) =
             Pulse::decode(note)
@@ -145,6 +145,7 @@
         }
     }
 
+    /// Whether the state lacks this incarnation of an entry.
     fn is_new(&self, entry: &Name, join: &Join) -> bool {
         let known = self.state.entries.get(entry);
         known.is_none_or(|known| known.incarnation < join.incarnation)
--- a/components/member/src/lib.rs
+++ b/components/member/src/lib.rs
@@ -1,15 +1,22 @@
-//! The host of a control member: sockets, disk and timers around the state
+//! Runtime of a control member: sockets, disk and timers around the state
 //! machines of `quorum` and `control`.
 //!
-//! - [`host`]: binding, starting, stopping.
-//! - `core`: one task that owns every state machine of the member. It waits
-//!   for nothing but its inputs and its timer.
-//! - `disk`: a thread that makes writes durable, many with one sync.
-//! - `link`, `peers`, `boot`: links between members, and the first membership.
-//! - `entry`, `follow`: what entries are served, at the link and in the core.
-//! - `probe`: questions to backend servers on standing connections.
-//! - `beacon`: how far each member is, published over nng.
-//! - `web`, `status`, `meter`: HTTP, what it shows, and metrics.
+//! - [`host`]: binding, starting and stopping.
+//! - `core`: one task that owns every state machine of the member and waits only
+//!   for its inputs and its timer.
+//! - `pending`: proposals and reads that wait for the quorum.
+//! - `disk`: a thread that makes writes durable, with one sync for many of them.
+//! - `link`, `peers`: links between members.
+//! - `bootstrap`, `join`: the first membership, and joining an existing one.
+//! - `roster`: automatic changes of the membership.
+//! - `effects`, `apply`, `leader`: effects of the quorum, committed entries, and
+//!   the control leader.
+//! - `entry`, `follower`: the link of an entry, and its state in the core.
+//! - `probe`: requests to backend servers on persistent connections.
+//! - `beacon`: progress of each member, published over nng.
+//! - `web`, `status`, `meter`, `event`: the HTTP interface, its status document,
+//!   metrics, and the log of applied commands.
+//! - [`standby`]: a host without a disk, which is no member.
 
 pub mod api;
 mod apply;
--- a/components/member/src/link.rs
+++ b/components/member/src/link.rs
@@ -1,4 +1,4 @@
-//! The listener for links of members and entries.
+//! Listener for links from members and entries.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,27 +14,29 @@
 use crate::host::Scope;
 use crate::input::{Input, Sender};
 
-/// Wait after a failed accept, as when files run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, such as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Least time between two words that messages come.
+/// Shortest interval between two confirmations that messages arrive.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
 
-/// This member's end of its links.
+/// Shared state of this member's end of its links.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) own: Member,
     pub(crate) key: Key,
+    /// Whether this member has neither log entries nor a snapshot.
     pub(crate) fresh: Arc<AtomicBool>,
-    /// Whether it has known no leader for some time and asks to be a member.
+    /// Whether this member asks to join a membership: set at the start if it has no
+    /// log, and later whenever it has had no leader for too long.
     pub(crate) wants_to_join: Arc<AtomicBool>,
-    /// Whether the member is cut off from all others, for tests of that.
+    /// Whether the member drops all traffic, which tests use to simulate a partition.
     pub(crate) isolated: Arc<AtomicBool>,
     pub(crate) log: Logger,
 }
 
 impl Endpoint {
-    /// How it names itself.
+    /// Identity of this member in the handshake.
     pub(crate) fn peer(&self, purpose: Purpose) -> Peer {
         Peer::new(&self.own.name, self.own.id, purpose)
     }
@@ -57,7 +59,7 @@
             Ok((stream, _)) => scope.spawn(accept(stream, endpoint.clone(), core.clone())),
             Err(error) => {
                 warn!(endpoint.log, "could not accept a link"; "error" => %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -81,11 +83,11 @@
         Purpose::Data | Purpose::Other => Ok(()),
     };
     if let Err(report) = ended {
-        debug!(endpoint.log, "a link ended"; "peer" => peer.name, "failure" => %report);
+        debug!(endpoint.log, "link failed"; "peer" => peer.name, "failure" => %report);
     }
 }
 
-/// Takes messages of another member.
+/// Receives messages of another member and confirms their arrival.
 async fn serve_member(
     mut reader: Reader,
     mut writer: Writer,
--- a/components/member/src/meter.rs
+++ b/components/member/src/meter.rs
@@ -23,7 +23,7 @@
 }
 
 impl Meter {
-    /// Makes the metrics and the registry that shows them.
+    /// Creates the metrics and the registry that exports them.
     pub(crate) fn new() -> (Self, Metrics) {
         let meter = Self::default();
         let mut registry = Registry::with_prefix("trefoil_control");
@@ -52,7 +52,7 @@
         (meter, Arc::new(Mutex::new(registry)))
     }
 
-    /// Sets the gauges.
+    /// Updates the gauges.
     pub(crate) fn set(&self, replica: &Replica, followers: usize) {
         let leadership = replica.leadership();
         self.term.set(leadership.term);
--- a/components/member/src/peers.rs
+++ b/components/member/src/peers.rs
@@ -1,6 +1,6 @@
 //! Links to the other members: one queue and one task for each.
 //!
-//! What can't be sent soon is dropped; the quorum log expects that.
+//! Messages that can't be sent promptly are dropped; the quorum tolerates their loss.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,22 +15,23 @@
 use crate::host::Scope;
 use crate::link::Endpoint;
 
-/// Messages that may wait for one member.
+/// Length of the send queue of one member.
 const QUEUE: usize = 1_024;
 
-/// Messages that are written at once.
+/// Largest number of messages written per flush.
 const BURST: usize = 64;
 
-/// Wait between two tries to dial a member.
-const REDIAL_PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two attempts to dial a member.
+const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// Time without a word that messages come after which a link is dialled anew: a
-/// connection may go silent and never be closed.
+/// Longest time that sent messages may stay unconfirmed before a link is dialled
+/// again, since a connection may go silent without being closed.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Members outside the membership that are answered.
+/// Largest number of hosts outside the membership to which links are kept.
 const MAX_NONMEMBERS: usize = 16;
 
+/// Address and send queue of one member.
 #[derive(Debug)]
 struct Link {
     address: SocketAddr,
@@ -42,34 +43,36 @@
 pub(crate) struct Links {
     endpoint: Endpoint,
     scope: Scope,
-    links: BTreeMap<u64, Link>,
+    by_id: BTreeMap<u64, Link>,
+    /// Ids of linked hosts outside the membership, oldest first.
     nonmembers: Vec<u64>,
 }
 
 impl Links {
     pub(crate) fn new(endpoint: Endpoint, scope: Scope) -> Self {
-        Self { endpoint, scope, links: BTreeMap::new(), nonmembers: Vec::new() }
+        Self { endpoint, scope, by_id: BTreeMap::new(), nonmembers: Vec::new() }
     }
 
-    /// Sends to a member; a message that can't be queued is dropped, and the
-    /// answer is false.
+    /// Queues a message for a member. Returns false if the message was dropped
+    /// because it can't be queued.
     pub(crate) fn send(&self, message: Message) -> bool {
-        let link = self.links.get(&message.to);
+        let link = self.by_id.get(&message.to);
         let open = link.filter(|_| !self.endpoint.is_isolated());
         open.is_some_and(|link| link.queue.try_send(message).is_ok())
     }
 
-    /// Whether there is no other member.
+    /// Whether this member has no links to others.
     pub(crate) fn is_alone(&self) -> bool {
-        self.links.is_empty()
+        self.by_id.is_empty()
     }
 
-    /// Keeps links to a membership, and to the last few that left it or dialled.
+    /// Opens links to all members, and keeps links to the last [`MAX_NONMEMBERS`] hosts
+    /// that left the membership or dialled this member.
     pub(crate) fn update(&mut self, members: &Members) {
         let listed = |id: &u64| members.members.iter().any(|member| member.id == *id);
         self.nonmembers.retain(|id| !listed(id));
-        // a leader that is being removed still needs answers to commit that
-        let left: Vec<_> = self.links.keys().copied().filter(|id| !listed(id)).collect();
+        // a leader that is being removed needs answers to commit its own removal
+        let left: Vec<_> = self.by_id.keys().copied().filter(|id| !listed(id)).collect();
         for id in left {
             self.add_nonmember(id);
         }
@@ -78,9 +81,9 @@
         }
     }
 
-    /// A member dialled; it is answered even if it is outside the membership.
+    /// Opens a link to a member that dialled, even if it is outside the membership.
     pub(crate) fn admit(&mut self, member: &Member) {
-        if self.links.contains_key(&member.id) {
+        if self.by_id.contains_key(&member.id) {
             return;
         }
         self.add_nonmember(member.id);
@@ -94,23 +97,23 @@
         self.nonmembers.push(id);
         if self.nonmembers.len() > MAX_NONMEMBERS {
             let oldest = self.nonmembers.remove(0);
-            self.links.remove(&oldest);
+            self.by_id.remove(&oldest);
         }
     }
 
     fn open(&mut self, member: &Member) {
         let Ok(address) = member.link.parse() else { return };
-        let known = self.links.get(&member.id).is_some_and(|link| link.address == address);
+        let known = self.by_id.get(&member.id).is_some_and(|link| link.address == address);
         if known || member.id == self.endpoint.own.id {
             return;
         }
         let (queue, due) = mpsc::channel(QUEUE);
         self.scope.spawn(run(address, member.id, self.endpoint.clone(), due));
-        self.links.insert(member.id, Link { address, queue });
+        self.by_id.insert(member.id, Link { address, queue });
     }
 }
 
-/// Dials a member and says hello.
+/// Dials a member and exchanges hello messages.
 pub(crate) async fn exchange_hello(
     address: SocketAddr,
     endpoint: &Endpoint,
@@ -126,18 +129,20 @@
     Ok((hello, reader, writer))
 }
 
+/// Keeps a link to a member until the send queue is closed.
 async fn run(address: SocketAddr, id: u64, endpoint: Endpoint, mut due: mpsc::Receiver<Message>) {
     while !due.is_closed() {
         if let Err(report) = run_link(address, id, &endpoint, &mut due).await {
-            debug!(endpoint.log, "no link to a member"; "address" => address,
+            debug!(endpoint.log, "link to a member failed"; "address" => address,
                 "failure" => %report);
         }
-        // what waits is soon old news
+        // queued messages are outdated by the time of the next attempt
         while due.try_recv().is_ok() {}
-        tokio::time::sleep(REDIAL_PAUSE).await;
+        tokio::time::sleep(REDIAL_DELAY).await;
     }
 }
 
+/// Dials a member and sends messages until the link fails or the queue is closed.
 async fn run_link(
     address: SocketAddr,
     id: u64,
@@ -149,7 +154,7 @@
         return Err(Report::new(Failure::Unproved));
     }
     let mut burst = Vec::with_capacity(BURST);
-    // since when messages were sent without a word that they come
+    // time of the oldest flush since the last confirmation
     let mut unconfirmed_since: Option<Instant> = None;
     loop {
         let deadline =
--- a/components/member/src/pending.rs
+++ b/components/member/src/pending.rs
@@ -1,4 +1,4 @@
-//! Proposals and reads that somebody waits for.
+//! Proposals and reads that wait for the quorum.
 
 use std::net::SocketAddr;
 
@@ -17,18 +17,18 @@
 use crate::input::{Completion, NoLeader};
 use crate::status::Config;
 
-/// Who waits for a proposal.
+/// Reply channel of a proposal.
 #[derive(Debug)]
 pub(crate) struct Pending(oneshot::Sender<Completion>);
 
 impl Pending {
-    /// Whether nobody waits any more.
+    /// Whether the requester has stopped waiting.
     pub(crate) fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
 }
 
-/// A server to be designated.
+/// A server to be designated as primary.
 #[derive(Clone, Debug)]
 pub(crate) struct Designation {
     pub(crate) group: Name,
@@ -37,21 +37,21 @@
     pub(crate) ask: Ask,
 }
 
-/// Who waits for a confirmed read.
+/// Purpose of a confirmed read.
 #[derive(Debug)]
 pub(crate) enum Read {
-    /// An entry's beat.
-    Heartbeat { key: Key<Follower>, sequence: u64, pulse: Pulse },
-    /// Leases that an entry gave up in an earlier beat that was not confirmed.
-    ReturnedLeases { key: Key<Follower>, pulse: Pulse },
-    /// A designation that needs a quorum behind it.
+    /// A heartbeat of an entry.
+    Heartbeat { key: Key<Follower>, sequence: u64, heartbeat: Pulse },
+    /// Leases that an entry returned in an earlier heartbeat that was not confirmed.
+    ReturnedLeases { key: Key<Follower>, heartbeat: Pulse },
+    /// A designation, which requires that a quorum confirms the leader first.
     Designate(Designation),
-    /// The declarations.
+    /// A request for the declarations.
     Config(oneshot::Sender<Result<Config, NoLeader>>),
 }
 
 impl Core {
-    /// Proposes a command for somebody who waits.
+    /// Proposes a command and keeps the reply channel until the command completes.
     pub(crate) fn propose(&mut self, command: &Command, reply: oneshot::Sender<Completion>) {
         let token = self.next_token();
         self.proposals.insert(token, Pending(reply));
@@ -59,32 +59,32 @@
         self.quorum_events.push_back(Event::Propose { token, command });
     }
 
-    /// Proposes a change of membership for somebody who waits.
+    /// Proposes a membership change and keeps the reply channel until it completes.
     pub(crate) fn change(&mut self, change: Change, reply: oneshot::Sender<Completion>) {
         let token = self.next_token();
         self.proposals.insert(token, Pending(reply));
         self.quorum_events.push_back(Event::Change { token, change });
     }
 
-    /// Tells who waits what became of a proposal.
+    /// Sends the result of a proposal to its requester.
     pub(crate) fn resolve(&mut self, token: u64, completion: Completion) {
         if let Some(Pending(reply)) = self.proposals.remove(&token) {
             drop(reply.send(completion));
         }
     }
 
-    /// Asks for a confirmed read.
+    /// Starts a confirmed read; the note travels to the leader with it.
     pub(crate) fn read(&mut self, read: Read, note: Option<Bytes>) {
         let token = self.next_token();
         self.reads.insert(token, read);
         self.quorum_events.push_back(Event::Read { token, note });
     }
 
-    /// A read is confirmed at an index.
+    /// Handles a read that the quorum confirmed at an index.
     pub(crate) fn confirm(&mut self, token: u64, index: u64) {
         match self.reads.remove(&token) {
             Some(Read::Heartbeat { key, sequence, .. }) => {
-                self.confirm_heartbeat(key, sequence, index)
+                self.confirm_heartbeat(key, sequence, index);
             }
             Some(read @ Read::Config(_)) => {
                 self.confirmed.push((index, read));
@@ -95,19 +95,21 @@
         }
     }
 
-    /// A read was not confirmed.
+    /// Handles a read that the quorum did not confirm.
     pub(crate) fn reject_read(&mut self, token: u64) {
         match self.reads.remove(&token) {
             Some(Read::Config(reply)) => drop(reply.send(Err(NoLeader))),
-            Some(Read::Heartbeat { key, pulse, .. } | Read::ReturnedLeases { key, pulse }) => {
-                self.retain_returned(key, pulse);
+            Some(
+                Read::Heartbeat { key, heartbeat, .. } | Read::ReturnedLeases { key, heartbeat },
+            ) => {
+                self.retain_returned(key, heartbeat);
             }
-            // the leader asks again, if it still leads
+            // the control leader requests the designation again if it still leads
             Some(Read::Designate(_)) | None => {}
         }
     }
 
-    /// Answers confirmed reads whose index is applied.
+    /// Answers the confirmed reads whose index has been applied.
     pub(crate) fn answer_reads(&mut self) {
         let applied = self.state.index;
         let (ready, waiting): (Vec<_>, Vec<_>) =
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -1,7 +1,7 @@
-//! Questions to backend servers, on connections that stand.
+//! Requests to backend servers on persistent connections.
 //!
-//! Each server has two lines: one for reports, which may wait at the server,
-//! and one for orders, which never stand behind a report.
+//! Each server has two connections: one for status reports, which may block at the
+//! server, and one for orders, which therefore never queue behind a report.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 use crate::host::Scope;
 use crate::input::{Input, Sender};
 
-/// Questions that may wait on one line.
+/// Length of the request queue of one connection.
 const QUEUE: usize = 16;
 
-/// Time without a question after which a connection is closed.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A line to a server.
+/// Target of a connection: a server, and whether the connection carries orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Target {
     server: Name,
@@ -31,20 +31,21 @@
     order: bool,
 }
 
+/// A request to a server.
 #[derive(Debug)]
 struct Request {
     group: Name,
     ask: Ask,
 }
 
-/// All lines.
+/// Request queues of all connections.
 #[derive(Debug)]
 pub(crate) struct Probes {
     core: Sender,
     scope: Scope,
-    /// This member's name, as the holder of promotions.
+    /// Name of this member, sent as the holder with each promotion.
     own: Name,
-    outside: Option<Arc<dyn Outside>>,
+    adapter: Option<Arc<dyn Outside>>,
     queues: HashMap<Target, mpsc::Sender<Request>>,
 }
 
@@ -53,13 +54,14 @@
         core: Sender,
         scope: Scope,
         own: Name,
-        outside: Option<Arc<dyn Outside>>,
+        adapter: Option<Arc<dyn Outside>>,
     ) -> Self {
-        Self { core, scope, own, outside, queues: HashMap::new() }
+        Self { core, scope, own, adapter, queues: HashMap::new() }
     }
 
-    /// Asks a server; the answer reaches the core. A question that can't be
-    /// put comes back at once, as unanswered.
+    /// Sends a request to a server; the core receives the answer as an input. A
+    /// request that can't be queued returns an event that reports the server as
+    /// silent.
     pub(crate) fn ask(
         &mut self,
         group: Name,
@@ -72,20 +74,19 @@
         self.queues.retain(|_, queue| !queue.is_closed());
         if !self.queues.contains_key(&target) {
             let (queue, due) = mpsc::channel(QUEUE);
-            match self.outside.clone().filter(|_| unfenced) {
-                Some(outside) => {
-                    let external =
-                        External { group: group.clone(), own: self.own.clone(), outside };
-                    self.scope.spawn(run_outside(target.clone(), external, due, self.core.clone()));
+            match self.adapter.clone().filter(|_| unfenced) {
+                Some(adapter) => {
+                    let access = Unfenced { group: group.clone(), own: self.own.clone(), adapter };
+                    self.scope.spawn(run_unfenced(target.clone(), access, due, self.core.clone()));
                 }
                 None => self.scope.spawn(run(target.clone(), due, self.core.clone())),
             }
             self.queues.insert(target.clone(), queue);
         }
         let put = self.queues.get(&target)?.try_send(Request { group, ask });
-        let (mpsc::error::TrySendError::Full(request) | mpsc::error::TrySendError::Closed(request)) =
+        let (mpsc::error::TrySendError::Full(unsent) | mpsc::error::TrySendError::Closed(unsent)) =
             put.err()?;
-        Some(probed(request.group, target.server, request.ask, Err(ProbeError::Silent)))
+        Some(probed(unsent.group, target.server, unsent.ask, Err(ProbeError::Silent)))
     }
 }
 
@@ -93,6 +94,7 @@
     Event::Probed { group, server, ask, result }
 }
 
+/// Serves the requests of one connection to a fenced server.
 async fn run(target: Target, mut due: mpsc::Receiver<Request>, core: Sender) {
     let mut connection = None;
     while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
@@ -104,28 +106,29 @@
     }
 }
 
-/// A server that takes orders from outside.
+/// Access to a server of an unfenced group.
 #[derive(Debug)]
-struct External {
+struct Unfenced {
     group: Name,
     own: Name,
-    outside: Arc<dyn Outside>,
+    adapter: Arc<dyn Outside>,
 }
 
-async fn run_outside(
+/// Serves the requests of one connection to a server of an unfenced group.
+async fn run_unfenced(
     target: Target,
-    external: External,
+    access: Unfenced,
     mut due: mpsc::Receiver<Request>,
     core: Sender,
 ) {
-    let External { group, own, outside } = external;
-    let mut connection = outside.line(&group, &target.server, target.address);
+    let Unfenced { group, own, adapter } = access;
+    let mut connection = adapter.line(&group, &target.server, target.address);
     while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
         let status = match request.ask {
             Ask::Designate { token } => {
                 let (group, server, holder) = (group.clone(), target.server.clone(), own.clone());
                 let promotion = Promotion { group, server, holder, token };
-                match outside.promote(promotion).await {
+                match adapter.promote(promotion).await {
                     Ok(()) => connection.status().await,
                     Err(report) => Err(report),
                 }
@@ -143,15 +146,16 @@
     }
 }
 
-/// A connection and the version of the last report on it.
+/// An open connection.
 #[derive(Debug)]
 struct Connection {
     probe: sql::Probe,
+    /// Version of the last status report on this connection.
     version: u64,
 }
 
-/// Asks on the standing connection; if that broke, once more on a new one.
-/// All questions are repeatable.
+/// Sends a request on the open connection, and retries once on a new connection if
+/// the old one was broken. All requests are idempotent.
 async fn answer(
     connection: &mut Option<Connection>,
     address: SocketAddr,
--- a/components/member/src/roster.rs
+++ b/components/member/src/roster.rs
@@ -1,9 +1,10 @@
-//! Who is a member: newcomers are added, those that are gone are removed.
+//! Automatic changes of the membership: new hosts are added, silent members are
+//! removed.
 //!
 //! The leader makes one change at a time, and none while an earlier one is
-//! open. A newcomer first learns. It votes once it has caught up and fewer vote
-//! than should, which the quorum sees to by itself; until then it stands by for
-//! a voter that is gone.
+//! pending. A new member starts as a learner. The quorum promotes a learner to
+//! voter once it has caught up and there are fewer voters than intended; until
+//! then it stands by to replace a silent voter.
 
 use std::collections::BTreeMap;
 
@@ -16,48 +17,52 @@
 use crate::core::Core;
 use crate::input::Completion;
 
-/// Silence after which a member is removed, where enough others vote.
+/// Silence after which a voter is removed, provided enough other voters or a live
+/// learner remain.
 pub const VOTER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Silence after which a member that does not vote is removed.
+/// Silence after which a learner is removed.
 pub const LEARNER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Time for which a newcomer's request stands.
+/// Time for which a request to join remains valid.
 const REQUEST_TTL: Duration = Duration::from_secs(2);
 
-/// Time without a leader after which a member asks to be added.
+/// Time without a leader after which a member asks to join.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Most members that vote where `tolerance` of them may be lost at once. The
-/// number is odd: one more would bear no more losses, and with an even number a
-/// cut into halves leaves neither half a quorum.
+/// Largest number of voters for a membership that tolerates the simultaneous loss of
+/// `tolerance` members. The number is odd: one more voter would not tolerate more
+/// losses, and with an even number a partition into halves leaves neither half a
+/// quorum.
 pub const fn voters(tolerance: usize) -> usize {
     2 * tolerance + 1
 }
 
-/// What the leader knows of those that ask.
+/// Policy for membership changes, with the pending requests to join.
 #[derive(Debug, Default)]
 pub struct Roster {
-    /// Whether the membership follows those that come and go; else operators
-    /// change it.
+    /// Whether hosts are added and removed automatically; otherwise operators change
+    /// the membership.
     automatic: bool,
-    /// Members that may be lost at once. More than twice as many voters are kept
-    /// even if some are silent.
+    /// Number of members that may be lost at once. More than twice as many voters
+    /// are kept, even if some of them are silent, unless a learner can replace them.
     tolerance: usize,
+    /// Hosts that asked to join, with the time of the last request, by member id.
     newcomers: BTreeMap<u64, (Member, Instant)>,
+    /// Result of the change that is under way.
     pending: Option<oneshot::Receiver<Completion>>,
 }
 
 impl Roster {
-    /// A roster that bears the loss of some members at once; `None` where
+    /// Creates a roster for a number of members that may be lost at once; `None` if
     /// operators change the membership.
     pub fn new(tolerance: Option<usize>) -> Self {
         let automatic = tolerance.is_some();
         Self { automatic, tolerance: tolerance.unwrap_or_default(), ..Self::default() }
     }
 
-    /// The next change of a membership, if one is due. `silences` says how long
-    /// the leader has heard nothing of each other member.
+    /// The next membership change, if one is due. `silences` is the time since the
+    /// leader last received a message from each other member, by member id.
     pub fn next(
         &mut self,
         now: Instant,
@@ -85,7 +90,7 @@
         newcomer.map(|(_, (member, _))| Change::Add(member.clone()))
     }
 
-    /// Notes a host that asks to be a member.
+    /// Records a host's request to join.
     pub fn record_request(&mut self, now: Instant, member: Member) {
         self.newcomers.insert(member.id, (member, now));
     }
@@ -102,7 +107,7 @@
 }
 
 impl Core {
-    /// A host asks to be a member.
+    /// Handles a host's request to join.
     pub(crate) fn on_join_request(&mut self, member: Member) {
         let now = self.now();
         if self.leadership.leads {
@@ -110,8 +115,8 @@
         }
     }
 
-    /// Makes the next change of the membership, if this member leads, and asks
-    /// to be added if it has had no leader for long.
+    /// Proposes the next membership change if this member leads, and sets whether
+    /// this member asks to join because it has had no leader for too long.
     pub(crate) fn update_membership(&mut self) {
         let now = self.now();
         self.wants_to_join.store(
@@ -127,13 +132,13 @@
         let Some(change) = self.roster.next(now, self.replica.members(), &silences) else {
             return;
         };
-        info!(self.log, "changes the membership"; "change" => ?change);
+        info!(self.log, "proposing a membership change"; "change" => ?change);
         let (reply, answer) = oneshot::channel();
         self.roster.pending = Some(answer);
         self.change(change, reply);
     }
 
-    /// A backend server is gone for good.
+    /// Proposes the removal of a backend server that is permanently gone.
     pub(crate) fn retire(&mut self, server: &Name, reply: oneshot::Sender<Completion>) {
         let Some(known) = self.state.servers.get(server) else {
             let (index, outcome) = (self.state.index, control::Outcome::Unchanged);
--- a/components/member/src/standby.rs
+++ b/components/member/src/standby.rs
@@ -1,4 +1,4 @@
-//! A host that serves control without a disk: it tells members that it is none.
+//! A control host without a disk, which answers members that it is no member.
 
 use ::link::{Failure, Key, Peer, Purpose};
 use base::prelude::*;
@@ -6,10 +6,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use wire::quorum::Hello;
 
-/// Wait after a failed accept, as when files run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, such as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers members that look for others until the task is ended.
+/// Answers members that look for others, until the task is cancelled.
 pub async fn serve(listener: TcpListener, name: Name, key: Key, log: Logger) {
     loop {
         match listener.accept().await {
@@ -17,13 +17,13 @@
                 let (name, key, log) = (name.clone(), key.clone(), log.clone());
                 tokio::spawn(async move {
                     if let Err(report) = answer(stream, &name, &key).await {
-                        debug!(log, "a link ended"; "failure" => %report);
+                        debug!(log, "link failed"; "failure" => %report);
                     }
                 });
             }
             Err(error) => {
                 debug!(log, "could not accept a link"; "error" => %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/components/member/src/status.rs
+++ b/components/member/src/status.rs
@@ -1,4 +1,4 @@
-//! What a member shows of itself and of the state.
+//! Status of a member and of the replicated state, as served over HTTP.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 use crate::api::Edition;
 use crate::core::Core;
 
-/// Failovers that are remembered.
+/// Largest number of failovers kept.
 const MAX_FAILOVERS: usize = 32;
 
-/// The declarations and where they stand.
+/// The declarations, with their version and the index at which they were read.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Config {
     version: u64,
     index: u64,
     #[serde(rename = "content", serialize_with = "canonical")]
     declarations: Arc<Declarations>,
-    /// Edition and document, where declarations come as whole editions.
+    /// Edition and its document, if declarations are replaced by complete editions.
     #[serde(skip)]
     pub(crate) edition: Edition,
 }
 
 impl Config {
-    /// The text of the patch that leads from here to `declared`.
+    /// Text of the patch from these declarations to `declared`.
     ///
-    /// A change with another base is a repeat or too late, whatever it holds,
-    /// so it goes into the log empty.
+    /// A change with another base is either a retry or outdated regardless of its
+    /// content, so an empty patch goes into the log.
     pub(crate) fn patch(&self, base: u64, declared: &Declarations) -> String {
         let patch = (base == self.version).then(|| Patch::between(&self.declarations, declared));
         patch.unwrap_or_default().text()
@@ -47,12 +47,12 @@
     }
 }
 
-/// Declarations as their canonical text.
+/// Serializes declarations as their canonical text.
 fn canonical<S: Serializer>(declarations: &Declarations, to: S) -> Result<S::Ok, S::Error> {
     to.serialize_str(&declarations.canonical())
 }
 
-/// What a member knows; [`Overview`] reads it.
+/// Status document of a member, read by [`Overview`].
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Status {
     member: String,
@@ -70,13 +70,14 @@
 }
 
 impl Status {
-    /// Id of the member of a name; of two, the older one.
+    /// Id of the member with a name; if two members share the name, the older one.
     pub(crate) fn id_of(&self, name: &str) -> Option<u64> {
         let member = self.members.iter().find(|member| member.name == name)?;
         u64::from_str_radix(&member.id, 16).ok()
     }
 }
 
+/// A member in the status document.
 #[derive(Clone, Debug, Serialize)]
 struct Member {
     name: String,
@@ -84,12 +85,12 @@
     link: String,
     web: String,
     voter: bool,
-    /// Last index known to be on its disk; told by the leader only.
+    /// Last index known to be on the member's disk; present at the leader only.
     matched: Option<u64>,
     beacon: Option<BeaconStatus>,
 }
 
-/// The newest beacon of a member.
+/// Newest beacon of a member.
 #[derive(Clone, Debug, Serialize)]
 struct BeaconStatus {
     index: u64,
@@ -98,7 +99,7 @@
     age_ms: u64,
 }
 
-/// The steps of a failover as this member applied them, in milliseconds of
+/// Times at which this member applied the steps of a failover, in milliseconds of
 /// the wall clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Steps {
@@ -165,10 +166,10 @@
 }
 
 impl Core {
-    /// What this member knows at present.
+    /// Current status of this member.
     ///
-    /// What only the leader sees (roles, lag, when it noticed a failover) is
-    /// missing where this member does not lead.
+    /// Observations of the leader (roles, lag, when it noticed a failover) are
+    /// missing if this member does not lead.
     pub(crate) fn status(&self) -> Status {
         let Overview { groups, entries, failovers, .. } =
             Overview::new(self.now(), &self.state, self.leader.as_ref());
@@ -213,7 +214,8 @@
         })
     }
 
-    /// The entries; where no leader tells what they applied, as was heard here.
+    /// Entries with their applied index; where the leader's figure is missing, the last
+    /// index reported to this member.
     fn show_entries(&self, entries: Vec<Entry>) -> Vec<Entry> {
         let entry = |entry: Entry| Entry {
             applied: entry.applied.or_else(|| self.entry_indexes.get(&entry.name).copied()),
@@ -222,8 +224,8 @@
         entries.into_iter().map(entry).collect()
     }
 
-    /// The steps that were applied here, each with what its leader saw. A
-    /// failover that has no term yet is known to the leader alone.
+    /// Failover steps that this member applied, merged with the leader's observations.
+    /// A failover without a term is known only to the leader.
     fn show_failovers(&self, seen: Vec<Failover>) -> Vec<Failover> {
         let mut shown: Vec<Failover> = self.failovers.iter().map(Steps::show).collect();
         for failover in seen {
@@ -239,7 +241,7 @@
     }
 }
 
-/// Ids pass the range that JSON numbers keep exactly.
+/// Formats an id as text, since ids exceed the range of exact JSON numbers.
 fn id(id: u64) -> String {
     format!("{id:016x}")
 }
--- a/components/member/src/web.rs
+++ b/components/member/src/web.rs
@@ -1,4 +1,4 @@
-//! HTTP of a member, as JSON.
+//! HTTP interface of a member, with JSON bodies.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -21,19 +21,20 @@
 use crate::link::Endpoint;
 use crate::peers;
 
-/// Pace at which backend servers renew their announcements.
+/// Interval at which backend servers renew their announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which a request that was not taken may come again.
+/// Delay after which a client may retry a request that was not accepted.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
+/// State shared by all request handlers.
 #[derive(Clone, Debug)]
 struct Shared {
     api: Api,
     endpoint: Endpoint,
 }
 
-/// The member's own routes.
+/// Routes of the member.
 pub(crate) fn routes(api: Api, endpoint: Endpoint) -> Router {
     Router::new()
         .route("/v1/announce", post(announce))
@@ -48,29 +49,29 @@
 /// Why a request failed.
 #[derive(Debug)]
 enum Failure {
-    /// A name or address can't be read.
+    /// A name or address of the announcement is malformed.
     InvalidAnnounce,
-    /// A change without an id.
+    /// The change has no id.
     MissingId,
-    /// No member of that name.
+    /// No member has this name.
     UnknownMember { name: Name },
-    /// Nothing at that address holds the key and is a member.
+    /// No member that holds the shared key answers at this address.
     Unreachable { link: SocketAddr },
-    /// Another member listens there.
+    /// A member with another name answers at this address.
     NameMismatch { link: SocketAddr, name: String },
-    /// The declarations have faults.
+    /// The declarations are invalid.
     Faults(Vec<config::Fault>),
     /// The command has no effect.
     Command(control::Refusal),
-    /// The membership can't be changed so.
+    /// The membership change was refused.
     Membership(Refusal),
-    /// The change started from another version.
+    /// The base of the change is not the current version.
     Conflict { version: u64 },
-    /// Another change of membership is under way.
+    /// Another membership change is under way.
     Busy,
-    /// No leader took it.
+    /// No leader accepted the request.
     NoLeader,
-    /// It was passed on; whether it ran is not known.
+    /// The request reached a leader, but its outcome is unknown.
     Unknown,
 }
 
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Whether it surely did not run, where that is in question.
+    /// Whether the request certainly did not run; `None` for
+    /// failures that are final answers.
     fn not_run(&self) -> Option<bool> {
         match self {
             Self::Busy | Self::NoLeader => Some(true),
@@ -117,6 +119,7 @@
     }
 }
 
+/// JSON body of a failure.
 #[derive(Debug, Serialize)]
 struct Problem {
     error: String,
@@ -303,7 +306,7 @@
     }
 }
 
-/// Asks the new member for its id, which nobody else knows.
+/// Asks the new member for its id, which no other member knows.
 async fn add(
     shared: &Shared,
     name: &Name,
--- a/components/member/tests/cluster/mod.rs
+++ b/components/member/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Three members of one process on loopback.
-#![allow(dead_code, reason = "each test uses a part")]
+//! A cluster of three members in one process, on loopback.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,7 +11,9 @@
 use reqwest::{Client, StatusCode};
 use serde_json::{Value, json};
 
+/// Longest wait for a condition in a test.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay between two checks of a condition.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub fn settings(name: &str, data: &Path, at: Option<Addresses>) -> Settings {
@@ -41,6 +43,7 @@
     }
 }
 
+/// Three members; the handle of a stopped member is `None`.
 pub struct Cluster {
     pub data: tempfile::TempDir,
     pub peers: Vec<Peer>,
@@ -62,7 +65,7 @@
         Self { data, handles: handles.collect(), peers, client: Client::new() }
     }
 
-    /// Starts a member at its addresses, with what its folder holds.
+    /// Restarts a member at its previous addresses with its data folder.
     pub async fn restart(&mut self, place: usize) {
         let Peer { name, link, web } = self.peers[place].clone();
         let bound = bind(name.as_str(), self.data.path(), Some(Addresses { link, web })).await;
@@ -87,7 +90,7 @@
         Some((answer.status(), answer.json().await.ok()?))
     }
 
-    /// Waits until a running member leads and says so itself.
+    /// Waits until a running member reports that it leads, and returns its index.
     pub async fn leader(&self) -> usize {
         let start = Instant::now();
         while start.elapsed() < TIMEOUT {
@@ -106,7 +109,7 @@
         panic!("no leader");
     }
 
-    /// Asks until the answer is final.
+    /// Posts a change, and retries until the answer is final.
     pub async fn change(
         &self,
         place: usize,
@@ -128,12 +131,14 @@
         panic!("no final answer");
     }
 
-    /// Asks until a read is confirmed.
+    /// Requests the configuration until a read is confirmed, and returns its version.
     pub async fn version(&self, place: usize) -> u64 {
         let start = Instant::now();
         while start.elapsed() < TIMEOUT {
             match self.get(place, "/v1/config").await {
-                Some((StatusCode::OK, config)) => return config["version"].as_u64().expect("one"),
+                Some((StatusCode::OK, config)) => {
+                    return config["version"].as_u64().expect("a version");
+                }
                 _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
--- a/components/member/tests/failover.rs
+++ b/components/member/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Members of one process on loopback, whose leader goes.
+//! Loss, planned stop and isolation of the leader of a cluster.
 
 mod cluster;
 
--- a/components/member/tests/follow.rs
+++ b/components/member/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Entries that follow through a member.
+//! Entries that follow the log through a member.
 
 mod cluster;
 
--- a/components/member/tests/membership.rs
+++ b/components/member/tests/membership.rs
@@ -1,4 +1,5 @@
-//! A lost host is replaced under a new id, and the next loss is harmless.
+//! Membership changes by an operator: a lost host is replaced under a new id, after
+//! which the cluster tolerates another loss.
 
 mod cluster;
 
@@ -6,8 +7,8 @@
 use reqwest::StatusCode;
 use serde_json::{Value, json};
 
-/// Waits until a member shows three voters, none of them of an id.
-async fn replaced(cluster: &Cluster, place: usize, old: &Value) {
+/// Waits until a member reports three voters, none of which has the id `old`.
+async fn wait_until_replaced(cluster: &Cluster, place: usize, old: &Value) {
     let start = std::time::Instant::now();
     while start.elapsed() < TIMEOUT {
         if let Some((_, status)) = cluster.get(place, "/v1/status").await {
@@ -30,7 +31,7 @@
         match cluster.post(place, "/v1/members", &body).await {
             Some((StatusCode::OK, _)) => return,
             Some((StatusCode::SERVICE_UNAVAILABLE, _)) | None => {
-                tokio::time::sleep(POLL_INTERVAL).await
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             Some((status, answer)) => panic!("{status} {answer}"),
         }
@@ -53,7 +54,7 @@
     std::fs::remove_dir_all(folder).expect("removed");
     cluster.restart(lost).await;
     add(&cluster, leader, lost).await;
-    replaced(&cluster, leader, &old).await;
+    wait_until_replaced(&cluster, leader, &old).await;
 
     cluster.handles[other].take().expect("runs").kill();
     let (status, answer) = cluster.change(lost, "two", 1, &json!({})).await;
@@ -65,7 +66,7 @@
 async fn does_not_start_anew_on_an_empty_disk() {
     let mut cluster = Cluster::start().await;
     let leader = cluster.leader().await;
-    // the first by name is the one that would name a first membership
+    // the member with the lowest name bootstraps the first membership
     let (first, other) = (0, if leader == 0 { 1 } else { leader });
     let (status, _) = cluster.change(leader, "one", 0, &json!({})).await;
     assert_eq!(status, StatusCode::OK);
@@ -80,8 +81,8 @@
     assert_eq!((&status["members"], &status["index"]), (&json!([]), &json!(0)), "{status}");
 }
 
-/// Members that a member knows of.
-async fn members(cluster: &Cluster, place: usize) -> usize {
+/// Number of members that a member knows.
+async fn member_count(cluster: &Cluster, place: usize) -> usize {
     let (_, status) = cluster.get(place, "/v1/status").await.expect("an answer");
     status["members"].as_array().map_or(0, Vec::len)
 }
@@ -94,23 +95,24 @@
     let (status, _) = cluster.change(leader, "one", 0, &json!({})).await;
     assert_eq!(status, StatusCode::OK);
     let body = json!({ "action": "remove", "name": cluster.peers[leader].name });
-    // refused as long as the leader has not heard the third member, whose start
-    // may be later than the first election; on a host that is too busy the leader
-    // may lose its lead before it can answer, and says that the outcome is unknown
-    let mut told = Vec::new();
+    // The leader refuses the change until it has received a message from the third
+    // member, which may start after the first election. On an overloaded host the
+    // leader may lose its leadership before it can answer, and then reports an
+    // unknown outcome.
+    let mut refusals = Vec::new();
     loop {
         let (status, answer) = cluster.post(leader, "/v1/members", &body).await.expect("an answer");
         if status == StatusCode::OK {
             break;
         }
-        let unheard = answer["error"] == json!("the membership stays: quorum");
+        let no_quorum = answer["error"] == json!("the membership stays: quorum");
         let unknown = answer["not_run"] == json!(false);
-        assert!(unheard || unknown, "{answer}");
-        if unknown && members(&cluster, other).await == 2 {
+        assert!(no_quorum || unknown, "{answer}");
+        if unknown && member_count(&cluster, other).await == 2 {
             break;
         }
-        told.push(answer);
-        assert!(told.len() < 100, "{told:?}");
+        refusals.push(answer);
+        assert!(refusals.len() < 100, "{refusals:?}");
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     }
     cluster.handles[leader].take().expect("runs").kill();
--- a/components/member/tests/roster.rs
+++ b/components/member/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Who is a member: newcomers are added, those that are gone are removed.
+//! Automatic membership changes: new hosts are added, silent members are removed.
 
 use base::prelude::*;
 use member::roster::{LEARNER_TIMEOUT, Roster, VOTER_TIMEOUT};
--- a/components/member/tests/seeds.rs
+++ b/components/member/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! The first membership from seeds, and members that join it.
+//! Bootstrap of the first membership from seeds, and members that join later.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -48,16 +48,16 @@
     Member { api, handle: bound.start(origin, axum::Router::new()).unwrap(), web }
 }
 
-/// All members, as one of them knows them.
-async fn listed(member: &Member) -> Vec<serde_json::Value> {
+/// Members that a member reports in its status.
+async fn member_list(member: &Member) -> Vec<serde_json::Value> {
     let status = reqwest::get(format!("http://{}/v1/status", member.web)).await.unwrap();
     let status: serde_json::Value = status.json().await.unwrap();
     status["members"].as_array().unwrap().clone()
 }
 
-/// Names of those that vote.
+/// Sorted names of the voters that a member reports.
 async fn voters(member: &Member) -> Vec<String> {
-    let members = listed(member).await;
+    let members = member_list(member).await;
     let voting = members.iter().filter(|member| member["voter"] == true);
     let mut names: Vec<_> =
         voting.map(|member| member["name"].as_str().unwrap().to_owned()).collect();
@@ -65,8 +65,8 @@
     names
 }
 
-/// Waits until so many members vote, each of these among them.
-async fn votes(member: &Member, count: usize, names: &[&str]) {
+/// Waits until a member reports `count` voters that include `names`.
+async fn wait_for_voters(member: &Member, count: usize, names: &[&str]) {
     for _ in 0..400 {
         let voters = voters(member).await;
         if voters.len() == count && names.iter().all(|name| voters.iter().any(|v| v == name)) {
@@ -77,8 +77,8 @@
     panic!("{names:?} do not vote: {:?}", voters(member).await);
 }
 
-/// Four members that found a membership, and the seeds of the first three.
-async fn four(data: &std::path::Path) -> (Vec<SocketAddr>, Vec<Member>) {
+/// Starts four members that bootstrap a membership with the first three as seeds.
+async fn start_four(data: &std::path::Path) -> (Vec<SocketAddr>, Vec<Member>) {
     let mut bound = Vec::new();
     for host in ["a", "b", "c", "d"] {
         bound.push(bind(host, data).await);
@@ -92,7 +92,7 @@
     Replace::new(number, "{}", format!("document {number}").as_bytes())
 }
 
-/// Puts an edition in force, as soon as there is a leader.
+/// Replaces the edition, and retries until there is a leader.
 async fn replace(api: &Api, number: u64) {
     for _ in 0..200 {
         if api.replace(edition(number)).await.is_ok() {
@@ -103,8 +103,8 @@
     panic!("edition {number} was not taken");
 }
 
-/// Waits until a member confirms an edition.
-async fn confirms(api: &Api, number: u64) {
+/// Waits until a member confirms that an edition is current.
+async fn wait_for_edition(api: &Api, number: u64) {
     for _ in 0..200 {
         if api.edition().await.is_ok_and(|edition| edition.number == number) {
             return;
@@ -117,14 +117,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn seeds_found_a_membership_that_others_join_also_with_an_empty_disk() {
     let data = tempfile::tempdir().unwrap();
-    let (seeds, mut members) = four(data.path()).await;
+    let (seeds, mut members) = start_four(data.path()).await;
     replace(&members[0].api, 3).await;
     for member in &members {
-        confirms(&member.api, 3).await;
+        wait_for_edition(&member.api, 3).await;
     }
 
-    // three of four vote, so that a cut into halves leaves one of them a quorum
-    while listed(&members[0]).await.len() != 4 {
+    // three of four members vote, so that a partition into halves leaves one half a quorum
+    while member_list(&members[0]).await.len() != 4 {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     for _ in 0..20 {
@@ -132,42 +132,43 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 
-    // one is gone with its disk, and comes back as another under its name
+    // a member is lost with its disk, and joins again under its name with a new id
     members.remove(2).handle.kill();
     std::fs::remove_dir_all(data.path().join("c")).unwrap();
     let again = start(bind("c", data.path()).await, &seeds, false);
-    confirms(&again.api, 3).await;
+    wait_for_edition(&again.api, 3).await;
     replace(&again.api, 4).await;
-    confirms(&members[0].api, 4).await;
-    votes(&members[0], 3, &[]).await;
+    wait_for_edition(&members[0].api, 4).await;
+    wait_for_voters(&members[0], 3, &[]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_member_that_stands_by_votes_once_a_voter_is_gone() {
     let data = tempfile::tempdir().unwrap();
-    let (_seeds, mut members) = four(data.path()).await;
+    let (_seeds, mut members) = start_four(data.path()).await;
     replace(&members[0].api, 1).await;
-    confirms(&members[3].api, 1).await;
-    // two voters are lost one after the other; with the third alone none would lead
+    wait_for_edition(&members[3].api, 1).await;
+    // two voters are lost one after the other; without a replacement, the third voter
+    // alone could not elect a leader
     members.remove(2).handle.kill();
-    votes(&members[0], 3, &["a", "b", "d"]).await;
+    wait_for_voters(&members[0], 3, &["a", "b", "d"]).await;
     members.remove(1).handle.kill();
     replace(&members[0].api, 2).await;
-    confirms(&members[1].api, 2).await;
+    wait_for_edition(&members[1].api, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_seed_that_stands_by_is_no_member() {
     let data = tempfile::tempdir().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let stands_by = listener.local_addr().unwrap();
+    let standby = listener.local_addr().unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     tokio::spawn(member::standby::serve(listener, name("s"), key(), log));
     let (a, b) = (bind("a", data.path()).await, bind("b", data.path()).await);
-    let seeds = [stands_by, a.addresses().link, b.addresses().link];
+    let seeds = [standby, a.addresses().link, b.addresses().link];
     let (a, b) = (start(a, &seeds, true), start(b, &seeds, true));
     replace(&a.api, 1).await;
-    confirms(&b.api, 1).await;
+    wait_for_edition(&b.api, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/components/member/tests/silence.rs
+++ b/components/member/tests/silence.rs
@@ -12,33 +12,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Passes connections on to `target` until they are muted: those that stand then
-/// stay open and pass nothing any more, new ones pass.
-async fn proxy(target: SocketAddr, muted: watch::Receiver<u64>) -> SocketAddr {
+/// Forwards connections to `target`. Each change of `mutes` mutes the connections
+/// open at that time: they stay open but forward nothing, while new connections
+/// are forwarded.
+async fn proxy(target: SocketAddr, mutes: watch::Receiver<u64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((near, _)) = listener.accept().await {
             let Ok(far) = TcpStream::connect(target).await else { continue };
             let (near, far) = (near.into_split(), far.into_split());
-            let born = *muted.borrow();
-            tokio::spawn(pass(near.0, far.1, born, muted.clone()));
-            tokio::spawn(pass(far.0, near.1, born, muted.clone()));
+            let generation = *mutes.borrow();
+            tokio::spawn(forward(near.0, far.1, generation, mutes.clone()));
+            tokio::spawn(forward(far.0, near.1, generation, mutes.clone()));
         }
     });
     address
 }
 
-async fn pass(
+async fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
-    born: u64,
-    muted: watch::Receiver<u64>,
+    generation: u64,
+    mutes: watch::Receiver<u64>,
 ) {
     let mut bytes = vec![0; 16 << 10];
     while let Ok(read @ 1..) = from.read(&mut bytes).await {
-        if *muted.borrow() != born {
-            // what is sent is taken as if it had arrived
+        if *mutes.borrow() != generation {
+            // bytes on a muted connection are read and discarded
             continue;
         }
         if to.write_all(&bytes[..read]).await.is_err() {
@@ -50,11 +51,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn members_find_each_other_again_when_all_their_links_go_silent() {
     let data = tempfile::tempdir().unwrap();
-    let (mute, muted) = watch::channel(0);
+    let (mute, mutes) = watch::channel(0);
     let (mut bounds, mut peers) = (Vec::new(), Vec::new());
     for name in ["a", "b", "c"] {
         let bound = bind(name, data.path(), None).await;
-        let link = proxy(bound.addresses().link, muted.clone()).await;
+        let link = proxy(bound.addresses().link, mutes.clone()).await;
         peers.push(Peer { name: name.parse().unwrap(), link, web: bound.addresses().web });
         bounds.push(bound);
     }
