--- a/components/member/src/apply.rs
+++ b/components/member/src/apply.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Records the time of a choice of a primary, which this member needs if it becomes the
-    /// control leader later.
+    /// Records the time of a choice of a primary, which this member needs if it later
+    /// becomes the control leader.
     fn record_choice(&mut self, command: &Command) {
         if matches!(command.body, Some(Body::Choose(_))) && self.leader.is_none() {
             self.control_leadership.last_chosen = Some(self.now());
--- a/components/member/src/follower.rs
+++ b/components/member/src/follower.rs
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Handles a heartbeat: starts the read that confirms it. The leader
-    /// receives the heartbeat in the same message as the read.
+    /// Starts the read that confirms a heartbeat. The leader receives the heartbeat in
+    /// the same message as the read.
     pub(crate) fn on_heartbeat(&mut self, key: Key<Follower>, beat: Beat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         let returned = std::mem::take(&mut follower.returned);
--- a/components/member/src/web.rs
+++ b/components/member/src/web.rs
@@ -46,7 +46,7 @@
         .with_state(Shared { api, endpoint })
 }
 
-/// Why a request failed.
+/// Failure of an HTTP request.
 #[derive(Debug)]
 enum Failure {
     /// A name or address of the announcement is malformed.
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Whether the request certainly did not run; `None` for
-    /// failures that are final answers.
+    /// Whether the request certainly did not run; `None` for failures that are final
+    /// answers.
     fn not_run(&self) -> Option<bool> {
         match self {
             Self::Busy | Self::NoLeader => Some(true),
