--- a/components/member/src/api.rs
+++ b/components/member/src/api.rs
@@ -1,4 +1,4 @@
-//! What a program may ask of the member that it runs.
+//! The interface of a running member for the program that hosts it.
 
 use base::prelude::*;
 use bytes::Bytes;
@@ -7,48 +7,49 @@
 use wire::log::{Announce, Command, Replace, command};
 use wire::pack::{self, Garbled};
 
-use crate::input::{Input, Sender, Unled, Verdict};
+use crate::input::{Completion, Input, NoLeader, Sender};
 
-/// Time after which an answer is given up.
+/// Longest wait for an answer of the core.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a question has no answer.
+/// Failure of a request to the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
-pub enum Lost {
-    /// No leader took it; it was not done.
-    Unled,
-    /// The leader was lost before it answered; it may have been done.
+pub enum RequestError {
+    /// No leader accepted the request; it was not executed.
+    #[strum(serialize = "Unled")]
+    NoLeader,
+    /// The leader was lost before it answered; the request may have been executed.
     Unknown,
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for RequestError {}
 
-impl From<Unled> for Lost {
-    fn from(Unled: Unled) -> Self {
-        Self::Unled
+impl From<NoLeader> for RequestError {
+    fn from(NoLeader: NoLeader) -> Self {
+        Self::NoLeader
     }
 }
 
-/// A whole edition of the declarations.
+/// A complete edition of the declarations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Edition {
-    /// Its number; zero for none.
+    /// Number of the edition; zero if there is none.
     pub number: u64,
-    /// The document that it was read from, packed.
+    /// Source document of the edition, packed.
     pub(crate) packed: Bytes,
 }
 
 impl Edition {
-    /// The document that it was read from.
+    /// Source document of the edition.
     ///
     /// # Errors
-    /// [`Garbled`] when the state holds another's bytes.
+    /// [`Garbled`] if the stored bytes are not a packed document.
     pub fn document(&self) -> Result<Vec<u8>, Report<Garbled>> {
         pack::unpack(&self.packed)
     }
 }
 
-/// The way to a member that runs.
+/// Handle for requests to a running member.
 #[derive(Clone, Debug)]
 pub struct Api {
     core: Sender,
@@ -59,79 +60,81 @@
         Self { core }
     }
 
-    /// Puts an input to the core and waits for its answer.
+    /// Sends an input to the core and waits for its answer.
     pub(crate) async fn ask<T>(
         &self,
         input: impl FnOnce(oneshot::Sender<T>) -> Input,
-    ) -> Result<T, Lost> {
+    ) -> Result<T, RequestError> {
         let (reply, answer) = oneshot::channel();
-        self.core.send(input(reply)).await.map_err(|_closed| Lost::Unled)?;
+        self.core.send(input(reply)).await.map_err(|_closed| RequestError::NoLeader)?;
         let answer = tokio::time::timeout(TIMEOUT, answer).await;
-        answer.map_err(|_elapsed| Lost::Unknown)?.map_err(|_closed| Lost::Unknown)
+        answer.map_err(|_elapsed| RequestError::Unknown)?.map_err(|_closed| RequestError::Unknown)
     }
 
-    pub(crate) async fn propose(&self, body: command::Body) -> Result<Verdict, Lost> {
+    pub(crate) async fn propose(&self, body: command::Body) -> Result<Completion, RequestError> {
         let command = Command { body: Some(body) };
         self.ask(|reply| Input::Propose { command, reply }).await
     }
 
-    /// Passes on what a backend server says of itself.
+    /// Forwards the announcement of a backend server.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn announce(&self, announce: Announce) -> Result<(), Lost> {
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
+    pub async fn announce(&self, announce: Announce) -> Result<(), RequestError> {
         Ok(self.ask(|reply| Input::Announce { announce, reply }).await??)
     }
 
-    /// Notes that a backend server is gone for good.
+    /// Records that a backend server is permanently gone.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn retire(&self, server: Name) -> Result<(), Lost> {
-        done(&self.ask(|reply| Input::Retire { server, reply }).await?)
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
+    pub async fn retire(&self, server: Name) -> Result<(), RequestError> {
+        require_committed(&self.ask(|reply| Input::Retire { server, reply }).await?)
     }
 
-    /// Puts a whole edition of the declarations in force, if it is the newest.
-    /// Whether it was taken, or passed over for a newer one.
+    /// Makes a complete edition of the declarations current if its number is the
+    /// highest, and returns whether the edition was accepted.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn replace(&self, replace: Replace) -> Result<Replaced, Lost> {
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
+    pub async fn replace(&self, replace: Replace) -> Result<Replaced, RequestError> {
         match self.propose(command::Body::Replace(replace)).await? {
-            Verdict::Applied { outcome: Outcome::Applied, .. } => Ok(Replaced::Taken),
-            Verdict::Applied { outcome: Outcome::Unchanged, .. } => Ok(Replaced::Passed),
-            Verdict::Applied { outcome: Outcome::Refused(Refusal::Malformed), .. } => {
+            Completion::Applied { outcome: Outcome::Applied, .. } => Ok(Replaced::Taken),
+            Completion::Applied { outcome: Outcome::Unchanged, .. } => Ok(Replaced::Passed),
+            Completion::Applied { outcome: Outcome::Refused(Refusal::Malformed), .. } => {
                 Ok(Replaced::Invalid)
             }
-            verdict => done(&verdict).map(|()| Replaced::Passed),
+            completion => require_committed(&completion).map(|()| Replaced::Passed),
         }
     }
 
-    /// The edition in force, confirmed by a quorum.
+    /// The current edition, confirmed by a quorum.
     ///
     /// # Errors
-    /// [`Lost`].
-    pub async fn edition(&self) -> Result<Edition, Lost> {
+    /// [`RequestError`] if no leader accepted the request or its outcome is unknown.
+    pub async fn edition(&self) -> Result<Edition, RequestError> {
         Ok(self.ask(|reply| Input::Config { reply }).await??.edition)
     }
 }
 
-/// What became of a whole edition.
+/// Result of a request to replace the edition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum Replaced {
-    /// It is in force.
+    /// The edition is current.
     Taken,
-    /// One that is as new or newer is.
+    /// An edition with the same or a higher number is current.
     Passed,
-    /// It has faults.
+    /// The edition is invalid.
     Invalid,
 }
 
-fn done(verdict: &Verdict) -> Result<(), Lost> {
-    match verdict {
-        Verdict::Applied { .. } | Verdict::Changed { .. } => Ok(()),
-        Verdict::Dropped { not_run: true } => Err(Lost::Unled),
-        Verdict::Dropped { not_run: false } | Verdict::Refused(_) => Err(Lost::Unknown),
+fn require_committed(completion: &Completion) -> Result<(), RequestError> {
+    match completion {
+        Completion::Applied { .. } | Completion::Changed { .. } => Ok(()),
+        Completion::Dropped { not_run: true } => Err(RequestError::NoLeader),
+        Completion::Dropped { not_run: false } | Completion::Refused(_) => {
+            Err(RequestError::Unknown)
+        }
     }
 }
--- a/components/member/src/core.rs
+++ b/components/member/src/core.rs
@@ -17,93 +17,102 @@
 use wire::quorum::message::Body;
 use wire::quorum::{Forward, Member, Message};
 
-use crate::answer::{Pending, Read};
 use crate::beacon::{Beacon, Beacons};
 use crate::disk::Writes;
-use crate::follow::Follower;
+use crate::follower::Follower;
 use crate::host::STOP_TIMEOUT;
 use crate::input::Input;
 use crate::meter::Meter;
 use crate::peers::Links;
+use crate::pending::{Pending, Read};
 use crate::probe::Probes;
 use crate::roster::Roster;
 use crate::status::Steps;
 
-/// Inputs taken between two looks at the timer.
+/// Largest number of inputs handled between two checks of the timer.
 const BURST: usize = 256;
 
-/// Ticks of the quorum between two of the control leader.
+/// Quorum ticks per tick of the control leader.
 const CONTROL_TICKS: u64 =
     control::leader::TICK.as_micros() as u64 / quorum::TICK_INTERVAL.as_micros() as u64;
 
-/// Ticks between two beacons.
+/// Quorum ticks between two beacons.
 const BEACON_TICKS: u64 = 20;
 
-/// Ticks between two looks at the membership.
+/// Quorum ticks between two checks of the membership.
 const ROSTER_TICKS: u64 = 20;
 
-/// Ticks between two rounds of tidying.
-const TIDY_TICKS: u64 = 100;
+/// Quorum ticks between two cleanups.
+const CLEANUP_TICKS: u64 = 100;
 
+/// State of the task that owns the member's state machines.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
     pub(crate) own: Member,
+    /// Whether this member has neither log entries nor a snapshot.
     pub(crate) fresh: Arc<AtomicBool>,
     pub(crate) replica: Replica,
     pub(crate) state: State,
-    pub(crate) part: Leadership,
-    /// Decides for the state while this member leads.
+    pub(crate) leadership: Leadership,
+    /// Control leader, present while this member leads and has applied an entry of
+    /// its own term.
     pub(crate) leader: Option<Leader>,
     pub(crate) writes: Writes,
     pub(crate) links: Links,
     pub(crate) beacons: Option<Beacons>,
-    /// The newest beacon of each member, and when it came.
-    pub(crate) heard: BTreeMap<u64, (Beacon, Instant)>,
+    /// Newest beacon of each member and the time of its receipt, by member id.
+    pub(crate) beacons_received: BTreeMap<u64, (Beacon, Instant)>,
     pub(crate) probes: Probes,
     pub(crate) followers: Arena<Follower>,
-    /// Entries applied since followers were told.
+    /// Entries applied since the last batch sent to followers.
     pub(crate) applied: Vec<wire::control::Entry>,
-    /// The newest image for entries, and its index.
+    /// Newest image of the state for entries, with its index.
     pub(crate) image: Option<(u64, Bytes)>,
+    /// Proposals without a result, by token.
     pub(crate) proposals: BTreeMap<u64, Pending>,
+    /// Reads that the quorum has yet to confirm, by token.
     pub(crate) reads: BTreeMap<u64, Read>,
-    /// Confirmed reads that wait for their index to be applied.
+    /// Confirmed reads whose index has yet to be applied.
     pub(crate) confirmed: Vec<(u64, Read)>,
+    /// Last token given to a proposal or read.
     pub(crate) token: u64,
-    /// What waits to go to the leader.
+    /// Data to be forwarded to the leader.
     pub(crate) forward: Forward,
+    /// Steps of recent failovers.
     pub(crate) failovers: VecDeque<Steps>,
-    /// Last index that each entry is known to have applied.
-    pub(crate) seen: BTreeMap<String, u64>,
+    /// Last index that each entry is known to have applied, by entry name.
+    pub(crate) entry_indexes: BTreeMap<String, u64>,
     pub(crate) health: Health,
     pub(crate) meter: Meter,
-    /// When a planned stop began.
-    pub(crate) stopping: Option<Instant>,
+    /// Start of a planned stop, or zero to end the member at once.
+    pub(crate) stopping_since: Option<Instant>,
+    /// Number of quorum ticks since the start.
     pub(crate) ticks: u64,
-    /// Events that the quorum has still to take.
-    pub(crate) due: VecDeque<Event>,
+    /// Events that the quorum has yet to process.
+    pub(crate) quorum_events: VecDeque<Event>,
     /// Events for the control leader's next tick.
-    pub(crate) late: Vec<control::Event>,
-    /// Since when no leader is known.
-    pub(crate) unled: Option<Instant>,
-    /// When things happened that a leader must know the time of.
-    pub(crate) past: control::Leadership,
-    /// Hosts that asked to be members, while this member leads.
+    pub(crate) leader_events: Vec<control::Event>,
+    /// Time since which no leader has been known.
+    pub(crate) leaderless_since: Option<Instant>,
+    /// Facts from before an election that a control leader needs.
+    pub(crate) control_leadership: control::Leadership,
+    /// Membership changes to be made while this member leads.
     pub(crate) roster: Roster,
-    /// Whether it has known no leader for some time.
-    pub(crate) asks: Arc<AtomicBool>,
+    /// Whether this member asks to join a membership: set at the start if it has no
+    /// log, and later whenever it has had no leader for too long.
+    pub(crate) wants_to_join: Arc<AtomicBool>,
 }
 
 impl Core {
-    /// Runs until the inputs end, the disk fails or a planned stop is over.
+    /// Runs until the inputs end, the disk fails or a planned stop has completed.
     pub(crate) async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut tick = tokio::time::interval(quorum::TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut burst = Vec::with_capacity(BURST);
-        self.links.keep(self.replica.members());
-        while !self.is_over() {
+        self.links.update(self.replica.members());
+        while !self.is_drained() {
             tokio::select! {
                 count = inputs.recv_many(&mut burst, BURST) => {
                     if count == 0 {
@@ -113,25 +122,26 @@
                 _ = tick.tick() => self.tick(),
             }
             for input in burst.drain(..) {
-                if let Input::Broken(report) = input {
-                    crit!(self.log, "the disk failed: the member ends"; "failure" => ?report);
+                if let Input::DiskFailed(report) = input {
+                    crit!(self.log, "the disk failed; the member stops"; "failure" => ?report);
                     return;
                 }
-                self.take(input);
-                self.settle();
+                self.on_input(input);
+                self.process_events();
             }
-            self.settle();
-            self.tell_followers();
-            self.pass_on();
+            self.process_events();
+            self.send_applied();
+            self.flush_forward();
         }
-        info!(self.log, "ends as planned");
+        info!(self.log, "planned stop completed");
     }
 
-    fn is_over(&self) -> bool {
-        let Some(since) = self.stopping else { return false };
-        let late = self.now().since(since) >= STOP_TIMEOUT;
-        let handed_over = !self.part.leads || self.links.is_alone();
-        late || (handed_over && self.proposals.is_empty())
+    /// Whether a planned stop has completed or timed out.
+    fn is_drained(&self) -> bool {
+        let Some(since) = self.stopping_since else { return false };
+        let timed_out = self.now().since(since) >= STOP_TIMEOUT;
+        let handed_over = !self.leadership.leads || self.links.is_alone();
+        timed_out || (handed_over && self.proposals.is_empty())
     }
 
     pub(crate) fn now(&self) -> Instant {
@@ -140,44 +150,44 @@
 
     fn tick(&mut self) {
         self.ticks += 1;
-        self.due.push_back(Event::Tick);
-        self.settle();
+        self.quorum_events.push_back(Event::Tick);
+        self.process_events();
         if self.ticks.is_multiple_of(CONTROL_TICKS) {
             self.tick_leader();
         }
         if self.ticks.is_multiple_of(BEACON_TICKS) {
             self.publish();
         }
-        if self.ticks.is_multiple_of(TIDY_TICKS) {
-            self.tidy();
+        if self.ticks.is_multiple_of(CLEANUP_TICKS) {
+            self.clean_up();
         }
         if self.ticks.is_multiple_of(ROSTER_TICKS) {
-            self.plan_members();
+            self.update_membership();
         }
-        self.refuse_unled();
+        self.refuse_if_leaderless();
     }
 
-    fn tidy(&mut self) {
+    fn clean_up(&mut self) {
         self.proposals.retain(|_, pending| !pending.is_closed());
-        self.seen.retain(|entry, _| self.state.entries.contains_key(entry.as_str()));
+        self.entry_indexes.retain(|entry, _| self.state.entries.contains_key(entry.as_str()));
         self.compact();
         self.meter.set(&self.replica, self.followers.len());
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
-            Input::Greeted { member, asks } => self.greet(&member, asks),
-            Input::Beacon(beacon) => self.hear_beacon(beacon),
-            Input::Message(message) => self.receive(message),
-            Input::Persisted(token) => self.due.push_back(Event::Persisted(token)),
-            Input::Bootstrap(members) => self.due.push_back(Event::Bootstrap(members)),
-            Input::Opened { follow, sender, reply } => self.open(follow, sender, reply),
-            Input::Beat { key, beat } => self.beat(key, beat),
-            Input::Symptom { key, symptom } => self.symptom(key, symptom),
-            Input::Seal { key, seal } => self.seal(key, seal),
-            Input::Left { key } => self.left(key),
+            Input::Hello { member, wants_to_join } => self.on_hello(&member, wants_to_join),
+            Input::Beacon(beacon) => self.on_beacon(beacon),
+            Input::Message(message) => self.on_message(message),
+            Input::Persisted(token) => self.quorum_events.push_back(Event::Persisted(token)),
+            Input::Bootstrap(members) => self.quorum_events.push_back(Event::Bootstrap(members)),
+            Input::Follow { follow, sender, reply } => self.open(follow, sender, reply),
+            Input::Heartbeat { key, beat } => self.on_heartbeat(key, beat),
+            Input::Symptom { key, symptom } => self.report_symptom(key, symptom),
+            Input::Seal { key, seal } => self.report_seal(key, seal),
+            Input::Leave { key } => self.report_leave(key),
             Input::Closed { key } => drop(self.followers.remove(key)),
-            Input::Probed(event) => self.lead(event),
+            Input::Probed(event) => self.notify_leader(event),
             Input::Announce { announce, reply } => self.announce(announce, reply),
             Input::Retire { server, reply } => self.retire(&server, reply),
             Input::Propose { command, reply } => self.propose(&command, reply),
@@ -185,26 +195,26 @@
             Input::Config { reply } => self.read(Read::Config(reply), None),
             Input::Status { reply } => drop(reply.send(self.status())),
             Input::Stop => self.stop(),
-            Input::Broken(_) => {}
+            Input::DiskFailed(_) => {}
         }
     }
 
-    fn receive(&mut self, message: Message) {
+    fn on_message(&mut self, message: Message) {
         if let Some(Body::Forward(forward)) = message.body {
-            self.hear(forward);
+            self.on_forward(forward);
             return;
         }
-        self.due.push_back(Event::Message(message));
+        self.quorum_events.push_back(Event::Message(message));
         self.fresh.store(self.replica.is_fresh(), Ordering::Release);
     }
 
-    fn greet(&mut self, member: &Member, asks: bool) {
-        self.links.greet(member);
-        if asks {
+    fn on_hello(&mut self, member: &Member, wants_to_join: bool) {
+        self.links.admit(member);
+        if wants_to_join {
             self.forward.newcomers.push(member.clone());
         }
         if let Some(beacons) = &mut self.beacons {
-            beacons.hear(member);
+            beacons.subscribe(member);
         }
     }
 
@@ -212,26 +222,26 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let sequence = since.unwrap_or_default().as_millis() as u64;
         let id = self.own.id;
-        let (index, term) = (self.state.index, self.part.term);
-        let leader = self.part.leader.unwrap_or(0);
+        let (index, term) = (self.state.index, self.leadership.term);
+        let leader = self.leadership.leader.unwrap_or(0);
         if let Some(beacons) = &self.beacons {
             beacons.publish(&Beacon { id, sequence, index, term, leader });
         }
     }
 
-    fn hear_beacon(&mut self, beacon: Beacon) {
-        let newest = self.heard.get(&beacon.id).map_or(0, |(known, _)| known.sequence);
+    fn on_beacon(&mut self, beacon: Beacon) {
+        let newest = self.beacons_received.get(&beacon.id).map_or(0, |(known, _)| known.sequence);
         let listed = self.name_of(beacon.id).is_some();
         if listed && beacon.sequence > newest {
             let now = self.now();
-            self.heard.insert(beacon.id, (beacon, now));
+            self.beacons_received.insert(beacon.id, (beacon, now));
         }
     }
 
     fn stop(&mut self) {
         self.health.set_ready(false);
-        self.stopping = Some(self.now());
-        self.due.push_back(Event::Transfer);
+        self.stopping_since = Some(self.now());
+        self.quorum_events.push_back(Event::Transfer);
         self.refuse_all();
     }
 }
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -1,7 +1,7 @@
-//! Questions to backend servers, on connections that stand.
+//! Requests to backend servers on persistent connections.
 //!
-//! Each server has two lines: one for reports, which may wait at the server,
-//! and one for orders, which never stand behind a report.
+//! Each server has two connections: one for status reports, which may block at the
+//! server, and one for orders, which therefore never queue behind a report.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,35 +17,36 @@
 use crate::host::Scope;
 use crate::input::{Input, Sender};
 
-/// Questions that may wait on one line.
+/// Length of the request queue of one connection.
 const QUEUE: usize = 16;
 
-/// Time without a question after which a connection is closed.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A line to a server.
+/// Target of a connection: a server, and whether the connection carries orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Line {
+struct Target {
     server: Name,
     address: SocketAddr,
     order: bool,
 }
 
+/// A request to a server.
 #[derive(Debug)]
-struct Question {
+struct Request {
     group: Name,
     ask: Ask,
 }
 
-/// All lines.
+/// Request queues of all connections.
 #[derive(Debug)]
 pub(crate) struct Probes {
     core: Sender,
     scope: Scope,
-    /// This member's name, as the holder of promotions.
+    /// Name of this member, sent as the holder with each promotion.
     own: Name,
-    outside: Option<Arc<dyn Outside>>,
-    lines: HashMap<Line, mpsc::Sender<Question>>,
+    adapter: Option<Arc<dyn Outside>>,
+    queues: HashMap<Target, mpsc::Sender<Request>>,
 }
 
 impl Probes {
@@ -53,38 +54,39 @@
         core: Sender,
         scope: Scope,
         own: Name,
-        outside: Option<Arc<dyn Outside>>,
+        adapter: Option<Arc<dyn Outside>>,
     ) -> Self {
-        Self { core, scope, own, outside, lines: HashMap::new() }
+        Self { core, scope, own, adapter, queues: HashMap::new() }
     }
 
-    /// Asks a server; the answer reaches the core. A question that can't be
-    /// put comes back at once, as unanswered.
+    /// Sends a request to a server; the core receives the answer as an input. A
+    /// request that can't be queued returns an event that reports the server as
+    /// silent.
     pub(crate) fn ask(
         &mut self,
         group: Name,
         server: Name,
         address: SocketAddr,
         ask: Ask,
-        solo: bool,
+        unfenced: bool,
     ) -> Option<Event> {
-        let line = Line { server, address, order: ask != Ask::Status };
-        self.lines.retain(|_, queue| !queue.is_closed());
-        if !self.lines.contains_key(&line) {
+        let target = Target { server, address, order: ask != Ask::Status };
+        self.queues.retain(|_, queue| !queue.is_closed());
+        if !self.queues.contains_key(&target) {
             let (queue, due) = mpsc::channel(QUEUE);
-            match self.outside.clone().filter(|_| solo) {
-                Some(outside) => {
-                    let target = Target { group: group.clone(), own: self.own.clone(), outside };
-                    self.scope.spawn(run_outside(line.clone(), target, due, self.core.clone()));
+            match self.adapter.clone().filter(|_| unfenced) {
+                Some(adapter) => {
+                    let access = Unfenced { group: group.clone(), own: self.own.clone(), adapter };
+                    self.scope.spawn(run_unfenced(target.clone(), access, due, self.core.clone()));
                 }
-                None => self.scope.spawn(run(line.clone(), due, self.core.clone())),
+                None => self.scope.spawn(run(target.clone(), due, self.core.clone())),
             }
-            self.lines.insert(line.clone(), queue);
+            self.queues.insert(target.clone(), queue);
         }
-        let put = self.lines.get(&line)?.try_send(Question { group, ask });
-        let (mpsc::error::TrySendError::Full(question)
-        | mpsc::error::TrySendError::Closed(question)) = put.err()?;
-        Some(probed(question.group, line.server, question.ask, Err(ProbeError::Silent)))
+        let put = self.queues.get(&target)?.try_send(Request { group, ask });
+        let (mpsc::error::TrySendError::Full(unsent) | mpsc::error::TrySendError::Closed(unsent)) =
+            put.err()?;
+        Some(probed(unsent.group, target.server, unsent.ask, Err(ProbeError::Silent)))
     }
 }
 
@@ -92,79 +94,87 @@
     Event::Probed { group, server, ask, result }
 }
 
-async fn run(line: Line, mut due: mpsc::Receiver<Question>, core: Sender) {
-    let mut open = None;
-    while let Ok(Some(question)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
-        let answer = answer(&mut open, line.address, question.ask).await;
-        let event = probed(question.group, line.server.clone(), question.ask, answer);
+/// Serves the requests of one connection to a fenced server.
+async fn run(target: Target, mut due: mpsc::Receiver<Request>, core: Sender) {
+    let mut connection = None;
+    while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
+        let answer = answer(&mut connection, target.address, request.ask).await;
+        let event = probed(request.group, target.server.clone(), request.ask, answer);
         if core.send(Input::Probed(event)).await.is_err() {
             return;
         }
     }
 }
 
-/// A server that takes orders from outside.
+/// Access to a server of an unfenced group.
 #[derive(Debug)]
-struct Target {
+struct Unfenced {
     group: Name,
     own: Name,
-    outside: Arc<dyn Outside>,
+    adapter: Arc<dyn Outside>,
 }
 
-async fn run_outside(line: Line, target: Target, mut due: mpsc::Receiver<Question>, core: Sender) {
-    let Target { group, own, outside } = target;
-    let mut open = outside.line(&group, &line.server, line.address);
-    while let Ok(Some(question)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
-        let status = match question.ask {
+/// Serves the requests of one connection to a server of an unfenced group.
+async fn run_unfenced(
+    target: Target,
+    access: Unfenced,
+    mut due: mpsc::Receiver<Request>,
+    core: Sender,
+) {
+    let Unfenced { group, own, adapter } = access;
+    let mut connection = adapter.line(&group, &target.server, target.address);
+    while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
+        let status = match request.ask {
             Ask::Designate { token } => {
-                let (group, server, holder) = (group.clone(), line.server.clone(), own.clone());
+                let (group, server, holder) = (group.clone(), target.server.clone(), own.clone());
                 let promotion = Promotion { group, server, holder, token };
-                match outside.promote(promotion).await {
-                    Ok(()) => open.status().await,
+                match adapter.promote(promotion).await {
+                    Ok(()) => connection.status().await,
                     Err(report) => Err(report),
                 }
             }
-            Ask::Status => open.status().await,
+            Ask::Status => connection.status().await,
             Ask::Fence(_) | Ask::Promote(_) | Ask::Follow { .. } => {
                 Err(Report::new(backend::Failure::Rejected))
             }
         };
-        let answer = status.map_err(|report| unreached(*report.current_context()));
-        let event = probed(question.group, line.server.clone(), question.ask, answer);
+        let answer = status.map_err(|report| probe_error(*report.current_context()));
+        let event = probed(request.group, target.server.clone(), request.ask, answer);
         if core.send(Input::Probed(event)).await.is_err() {
             return;
         }
     }
 }
 
-/// A connection and the version of the last report on it.
+/// An open connection.
 #[derive(Debug)]
-struct Open {
+struct Connection {
     probe: sql::Probe,
+    /// Version of the last status report on this connection.
     version: u64,
 }
 
-/// Asks on the standing connection; if that broke, once more on a new one.
-/// All questions are repeatable.
+/// Sends a request on the open connection, and retries once on a new connection if
+/// the old one was broken. All requests are idempotent.
 async fn answer(
-    open: &mut Option<Open>,
+    connection: &mut Option<Connection>,
     address: SocketAddr,
     ask: Ask,
 ) -> Result<Status, ProbeError> {
-    let stood = open.is_some();
-    match try_answer(open, address, ask).await {
-        Err(backend::Failure::Broken) if stood => try_answer(open, address, ask).await,
+    let reused = connection.is_some();
+    match try_answer(connection, address, ask).await {
+        Err(backend::Failure::Broken) if reused => try_answer(connection, address, ask).await,
         answer => answer,
     }
-    .map_err(unreached)
+    .map_err(probe_error)
 }
 
 async fn try_answer(
-    open: &mut Option<Open>,
+    connection: &mut Option<Connection>,
     address: SocketAddr,
     ask: Ask,
 ) -> Result<Status, backend::Failure> {
-    let mut current = match open.take() {
+    let mut current = match connection.take() {
         Some(current) => current,
         None => connect(address).await?,
     };
@@ -178,17 +188,17 @@
     };
     let status = answered.map_err(|report| *report.current_context())?;
     current.version = status.version;
-    *open = Some(current);
+    *connection = Some(current);
     Ok(status)
 }
 
-async fn connect(address: SocketAddr) -> Result<Open, backend::Failure> {
+async fn connect(address: SocketAddr) -> Result<Connection, backend::Failure> {
     let connected = sql::Probe::connect(address, sql::TIMEOUT).await;
     let probe = connected.map_err(|report| *report.current_context())?;
-    Ok(Open { probe, version: 0 })
+    Ok(Connection { probe, version: 0 })
 }
 
-fn unreached(failure: backend::Failure) -> ProbeError {
+fn probe_error(failure: backend::Failure) -> ProbeError {
     match failure {
         backend::Failure::Refused => ProbeError::Refused,
         backend::Failure::Timeout | backend::Failure::Broken => ProbeError::Silent,
--- a/components/member/src/status.rs
+++ b/components/member/src/status.rs
@@ -1,4 +1,4 @@
-//! What a member shows of itself and of the state.
+//! Status of a member and of the replicated state, as served over HTTP.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 use crate::api::Edition;
 use crate::core::Core;
 
-/// Failovers that are remembered.
-const FAILOVERS: usize = 32;
+/// Largest number of failovers kept.
+const MAX_FAILOVERS: usize = 32;
 
-/// The declarations and where they stand.
+/// The declarations, with their version and the index at which they were read.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Config {
     version: u64,
     index: u64,
     #[serde(rename = "content", serialize_with = "canonical")]
     declarations: Arc<Declarations>,
-    /// Edition and document, where declarations come as whole editions.
+    /// Edition and its document, if declarations are replaced by complete editions.
     #[serde(skip)]
     pub(crate) edition: Edition,
 }
 
 impl Config {
-    /// The text of the patch that leads from here to `declared`.
+    /// Text of the patch from these declarations to `declared`.
     ///
-    /// A change with another base is a repeat or too late, whatever it holds,
-    /// so it goes into the log empty.
+    /// A change with another base is either a retry or outdated regardless of its
+    /// content, so an empty patch goes into the log.
     pub(crate) fn patch(&self, base: u64, declared: &Declarations) -> String {
         let patch = (base == self.version).then(|| Patch::between(&self.declarations, declared));
         patch.unwrap_or_default().text()
@@ -47,12 +47,12 @@
     }
 }
 
-/// Declarations as their canonical text.
+/// Serializes declarations as their canonical text.
 fn canonical<S: Serializer>(declarations: &Declarations, to: S) -> Result<S::Ok, S::Error> {
     to.serialize_str(&declarations.canonical())
 }
 
-/// What a member knows; [`Overview`] reads it.
+/// Status document of a member, read by [`Overview`].
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Status {
     member: String,
@@ -70,13 +70,14 @@
 }
 
 impl Status {
-    /// Id of the member of a name; of two, the older one.
+    /// Id of the member with a name; if two members share the name, the older one.
     pub(crate) fn id_of(&self, name: &str) -> Option<u64> {
         let member = self.members.iter().find(|member| member.name == name)?;
         u64::from_str_radix(&member.id, 16).ok()
     }
 }
 
+/// A member in the status document.
 #[derive(Clone, Debug, Serialize)]
 struct Member {
     name: String,
@@ -84,21 +85,21 @@
     link: String,
     web: String,
     voter: bool,
-    /// Last index known to be on its disk; told by the leader only.
+    /// Last index known to be on the member's disk; present at the leader only.
     matched: Option<u64>,
-    beacon: Option<Heard>,
+    beacon: Option<BeaconStatus>,
 }
 
-/// The newest beacon of a member.
+/// Newest beacon of a member.
 #[derive(Clone, Debug, Serialize)]
-struct Heard {
+struct BeaconStatus {
     index: u64,
     term: u64,
     leader: Option<String>,
     age_ms: u64,
 }
 
-/// The steps of a failover as this member applied them, in milliseconds of
+/// Times at which this member applied the steps of a failover, in milliseconds of
 /// the wall clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Steps {
@@ -141,9 +142,9 @@
     }
 
     fn find<'a>(list: &'a mut VecDeque<Self>, group: &str, term: u64) -> &'a mut Self {
-        let place = list.iter().position(|known| known.group == group && known.term == term);
-        let place = place.unwrap_or_else(|| {
-            if list.len() == FAILOVERS {
+        let index = list.iter().position(|known| known.group == group && known.term == term);
+        let index = index.unwrap_or_else(|| {
+            if list.len() == MAX_FAILOVERS {
                 list.pop_front();
             }
             list.push_back(Self {
@@ -156,7 +157,7 @@
             });
             list.len() - 1
         });
-        &mut list[place]
+        &mut list[index]
     }
 }
 
@@ -165,19 +166,19 @@
 }
 
 impl Core {
-    /// What this member knows at present.
+    /// Current status of this member.
     ///
-    /// What only the leader sees (roles, lag, when it noticed a failover) is
-    /// missing where this member does not lead.
+    /// Observations of the leader (roles, lag, when it noticed a failover) are
+    /// missing if this member does not lead.
     pub(crate) fn status(&self) -> Status {
         let Overview { groups, entries, failovers, .. } =
             Overview::new(self.now(), &self.state, self.leader.as_ref());
         Status {
             member: self.own.name.clone(),
             id: id(self.own.id),
-            leader: self.part.leader.and_then(|leader| self.name_of(leader)),
-            leads: self.part.leads,
-            term: self.part.term,
+            leader: self.leadership.leader.and_then(|leader| self.name_of(leader)),
+            leads: self.leadership.leads,
+            term: self.leadership.term,
             commit: self.replica.commit(),
             index: self.state.index,
             version: self.state.version,
@@ -203,9 +204,9 @@
         members.map(member).collect()
     }
 
-    fn show_beacon(&self, id: u64) -> Option<Heard> {
-        let (beacon, at) = self.heard.get(&id)?;
-        Some(Heard {
+    fn show_beacon(&self, id: u64) -> Option<BeaconStatus> {
+        let (beacon, at) = self.beacons_received.get(&id)?;
+        Some(BeaconStatus {
             index: beacon.index,
             term: beacon.term,
             leader: self.name_of(beacon.leader),
@@ -213,17 +214,18 @@
         })
     }
 
-    /// The entries; where no leader tells what they applied, as was heard here.
-    fn show_entries(&self, told: Vec<Entry>) -> Vec<Entry> {
+    /// Entries with their applied index; where the leader's figure is missing, the last
+    /// index reported to this member.
+    fn show_entries(&self, entries: Vec<Entry>) -> Vec<Entry> {
         let entry = |entry: Entry| Entry {
-            applied: entry.applied.or_else(|| self.seen.get(&entry.name).copied()),
+            applied: entry.applied.or_else(|| self.entry_indexes.get(&entry.name).copied()),
             ..entry
         };
-        told.into_iter().map(entry).collect()
+        entries.into_iter().map(entry).collect()
     }
 
-    /// The steps that were applied here, each with what its leader saw. A
-    /// failover that has no term yet is known to the leader alone.
+    /// Failover steps that this member applied, merged with the leader's observations.
+    /// A failover without a term is known only to the leader.
     fn show_failovers(&self, seen: Vec<Failover>) -> Vec<Failover> {
         let mut shown: Vec<Failover> = self.failovers.iter().map(Steps::show).collect();
         for failover in seen {
@@ -239,7 +241,7 @@
     }
 }
 
-/// Ids pass the range that JSON numbers keep exactly.
+/// Formats an id as text, since ids exceed the range of exact JSON numbers.
 fn id(id: u64) -> String {
     format!("{id:016x}")
 }
--- a/components/member/tests/trio/mod.rs
+++ b/components/member/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Three members of one process on loopback.
-#![allow(dead_code, reason = "each test uses a part")]
+//! A cluster of three members in one process, on loopback.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,8 +11,10 @@
 use reqwest::{Client, StatusCode};
 use serde_json::{Value, json};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
-pub const PAUSE: Duration = Duration::from_millis(20);
+/// Longest wait for a condition in a test.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay between two checks of a condition.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub fn settings(name: &str, data: &Path, at: Option<Addresses>) -> Settings {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -26,7 +28,7 @@
         clock: Clock::start(),
         seed: 7,
         beacons: true,
-        outside: None,
+        adapter: None,
     }
 }
 
@@ -35,20 +37,21 @@
     loop {
         match member::bind(settings(name, data, at)).await {
             Ok(bound) => return bound,
-            Err(report) if start.elapsed() > PATIENCE => panic!("{report:?}"),
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(report) if start.elapsed() > TIMEOUT => panic!("{report:?}"),
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-pub struct Trio {
+/// Three members; the handle of a stopped member is `None`.
+pub struct Cluster {
     pub data: tempfile::TempDir,
     pub peers: Vec<Peer>,
     pub handles: Vec<Option<Handle>>,
     pub client: Client,
 }
 
-impl Trio {
+impl Cluster {
     pub async fn start() -> Self {
         let data = tempfile::tempdir().expect("a folder");
         let mut bounds = Vec::new();
@@ -62,7 +65,7 @@
         Self { data, handles: handles.collect(), peers, client: Client::new() }
     }
 
-    /// Starts a member at its addresses, with what its folder holds.
+    /// Restarts a member at its previous addresses with its data folder.
     pub async fn restart(&mut self, place: usize) {
         let Peer { name, link, web } = self.peers[place].clone();
         let bound = bind(name.as_str(), self.data.path(), Some(Addresses { link, web })).await;
@@ -87,10 +90,10 @@
         Some((answer.status(), answer.json().await.ok()?))
     }
 
-    /// Waits until a running member leads and says so itself.
+    /// Waits until a running member reports that it leads, and returns its index.
     pub async fn leader(&self) -> usize {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             for place in 0..self.peers.len() {
                 let status = if self.handles[place].is_some() {
                     self.get(place, "/v1/status").await
@@ -101,12 +104,12 @@
                     return place;
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("no leader");
     }
 
-    /// Asks until the answer is final.
+    /// Posts a change, and retries until the answer is final.
     pub async fn change(
         &self,
         place: usize,
@@ -117,24 +120,26 @@
         let content = json!({ "groups": groups, "services": {}, "selectors": {} }).to_string();
         let body = json!({ "change": id, "base": base, "content": content });
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             match self.post(place, "/v1/changes", &body).await {
                 Some((status, answer)) if status != StatusCode::SERVICE_UNAVAILABLE => {
                     return (status, answer);
                 }
-                _ => tokio::time::sleep(PAUSE).await,
+                _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
         panic!("no final answer");
     }
 
-    /// Asks until a read is confirmed.
+    /// Requests the configuration until a read is confirmed, and returns its version.
     pub async fn version(&self, place: usize) -> u64 {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             match self.get(place, "/v1/config").await {
-                Some((StatusCode::OK, config)) => return config["version"].as_u64().expect("one"),
-                _ => tokio::time::sleep(PAUSE).await,
+                Some((StatusCode::OK, config)) => {
+                    return config["version"].as_u64().expect("a version");
+                }
+                _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
         panic!("no confirmed read");
