--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -61,7 +61,7 @@
         match self {
             Self::Link => f.write_str("the link to control failed"),
             Self::Closed => f.write_str("the control member closed the link"),
-            Self::Refused => f.write_str("the control member cannot serve entries at present"),
+            Self::Refused => f.write_str("the control member cannot serve"),
             Self::Silent => f.write_str("the control member did not confirm a heartbeat in time"),
             Self::Absent => f.write_str("the control state does not contain this entry"),
             Self::Gap { due, found } => {
--- a/components/entry/src/front/keepers.rs
+++ b/components/entry/src/front/keepers.rs
@@ -131,7 +131,7 @@
         if peer.name != keeper.name.as_str() {
             return Err(Report::new(NotSent));
         }
-        info!(self.log, "connected to keeper"; "keeper" => %keeper.name);
+        info!(self.log, "linked to a keeper"; "keeper" => %keeper.name);
         Ok(Link::start(keeper.name.clone(), peer.incarnation, (reader, writer), self.clock))
     }
 
--- a/components/member/src/effects.rs
+++ b/components/member/src/effects.rs
@@ -66,7 +66,7 @@
     }
 
     fn set_leadership(&mut self, leadership: Leadership) {
-        info!(self.log, "leadership changed"; "term" => leadership.term,
+        info!(self.log, "plays a part"; "term" => leadership.term,
             "leads" => leadership.leads,
             "leader" => leadership.leader.and_then(|id| self.name_of(id)));
         let has_leader = leadership.leader.is_some();
