--- a/components/backend/src/outside.rs
+++ b/components/backend/src/unfenced.rs
@@ -12,16 +12,16 @@
 use crate::probe::Failure;
 
 /// The way to servers, and to whoever promotes them.
-pub trait Outside: Debug + Send + Sync {
+pub trait Adapter: Debug + Send + Sync {
     /// A line to one server; it connects when it is first asked.
-    fn line(&self, group: &Name, server: &Name, address: SocketAddr) -> Box<dyn Line>;
+    fn connection(&self, group: &Name, server: &Name, address: SocketAddr) -> Box<dyn Connection>;
 
     /// Has a server made the primary of its group. Repeatable.
     fn promote(&self, promotion: Promotion) -> BoxFuture<'_, Result<(), Report<Failure>>>;
 }
 
 /// A line to one server.
-pub trait Line: Debug + Send {
+pub trait Connection: Debug + Send {
     /// Asks where the server stands.
     fn status(&mut self) -> BoxFuture<'_, Result<Status, Report<Failure>>>;
 }
--- a/components/base/src/mark.rs
+++ b/components/base/src/mark.rs
@@ -79,18 +79,18 @@
 
 /// What became of a mark of an earlier term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Inclusion {
     /// The record is part of the lineage.
-    Survived,
+    Included,
     /// A later term began before it.
-    Lost,
+    Truncated,
     /// The history does not reach the mark's term.
     Unknown,
 }
 
 /// Where each term began, oldest first: the last position of the term before.
 ///
-/// Old terms may be trimmed, so an answer can be [`Fate::Unknown`].
+/// Old terms may be trimmed, so an answer can be [`Inclusion::Unknown`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct History {
@@ -99,7 +99,7 @@
 
 impl History {
     /// Terms kept; a session is far shorter than this many failovers.
-    pub const KEPT: usize = 64;
+    pub const MAX_TERMS: usize = 64;
 
     /// Adds the start of a term: `position` is the last one of the lineage before it.
     ///
@@ -109,7 +109,7 @@
             return;
         }
         self.starts.push(Mark { term, position });
-        if self.starts.len() > Self::KEPT {
+        if self.starts.len() > Self::MAX_TERMS {
             self.starts.remove(0);
         }
     }
@@ -125,12 +125,12 @@
     }
 
     /// The newest term.
-    pub fn last(&self) -> Option<Term> {
+    pub fn last_term(&self) -> Option<Term> {
         self.starts.last().map(|start| start.term)
     }
 
     /// Start of the first term after `term`, where the history has one.
-    pub fn next(&self, term: Term) -> Option<Mark> {
+    pub fn start_after(&self, term: Term) -> Option<Mark> {
         self.starts.iter().copied().find(|start| start.term > term)
     }
 
@@ -139,16 +139,16 @@
     /// A record of term T at p survived if and only if p is at or under the
     /// start of the next term. Of the newest term, all belong. A term that the
     /// lineage passed over left no record in it.
-    pub fn fate(&self, mark: Mark) -> Fate {
+    pub fn inclusion(&self, mark: Mark) -> Inclusion {
         let first = self.starts.first().map(|start| start.term);
-        if first.is_none_or(|first| mark.term < first) || self.last() < Some(mark.term) {
-            return Fate::Unknown;
+        if first.is_none_or(|first| mark.term < first) || self.last_term() < Some(mark.term) {
+            return Inclusion::Unknown;
         }
         let known = self.starts.iter().any(|start| start.term == mark.term);
-        match self.next(mark.term) {
-            _ if !known => Fate::Lost,
-            Some(next) if mark.position > next.position => Fate::Lost,
-            Some(_) | None => Fate::Survived,
+        match self.start_after(mark.term) {
+            _ if !known => Inclusion::Truncated,
+            Some(next) if mark.position > next.position => Inclusion::Truncated,
+            Some(_) | None => Inclusion::Included,
         }
     }
 }
--- a/components/base/src/status.rs
+++ b/components/base/src/status.rs
@@ -79,7 +79,7 @@
         if self.log_term < mark.term {
             return false;
         }
-        let cut = self.history.next(mark.term).map(|next| next.position);
+        let cut = self.history.start_after(mark.term).map(|next| next.position);
         let needed = cut.map_or(mark.position, |cut| cut.min(mark.position));
         self.applied >= needed
     }
--- a/components/base/tests/mark.rs
+++ b/components/base/tests/mark.rs
@@ -1,6 +1,6 @@
 //! Marks, histories and what a status proves.
 
-use base::mark::Fate;
+use base::mark::Inclusion;
 use base::prelude::*;
 
 fn history(text: &str) -> History {
@@ -25,16 +25,16 @@
 #[test]
 fn can_settle_a_mark_by_the_next_term() {
     let lineage = history("1:0,3:10");
-    assert_eq!(lineage.fate(Mark::new(1, 10)), Fate::Survived);
-    assert_eq!(lineage.fate(Mark::new(1, 11)), Fate::Lost);
-    assert_eq!(lineage.fate(Mark::new(2, 4)), Fate::Lost);
-    assert_eq!(lineage.fate(Mark::new(3, 90)), Fate::Survived);
-    assert_eq!(lineage.fate(Mark::new(4, 1)), Fate::Unknown);
+    assert_eq!(lineage.inclusion(Mark::new(1, 10)), Inclusion::Included);
+    assert_eq!(lineage.inclusion(Mark::new(1, 11)), Inclusion::Truncated);
+    assert_eq!(lineage.inclusion(Mark::new(2, 4)), Inclusion::Truncated);
+    assert_eq!(lineage.inclusion(Mark::new(3, 90)), Inclusion::Included);
+    assert_eq!(lineage.inclusion(Mark::new(4, 1)), Inclusion::Unknown);
 }
 
 #[test]
 fn knows_nothing_of_terms_before_the_history() {
-    assert_eq!(history("5:40").fate(Mark::new(4, 1)), Fate::Unknown);
+    assert_eq!(history("5:40").inclusion(Mark::new(4, 1)), Inclusion::Unknown);
 }
 
 #[test]
--- a/components/control/src/designation.rs
+++ b/components/control/src/designation.rs
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 
 use base::prelude::*;
-use wire::control::{Seal, Sight, Symptom};
+use wire::control::{Condition, Seal, Symptom};
 use wire::log::{Choose, Establish, Intend, command};
 
 use crate::context::Context;
@@ -252,7 +252,7 @@
         let (now, group) = (context.now, context.group);
         let settling = self.established.is_some_and(|(_, at)| now.since(at) < SETTLE_TIME);
         let mut unhealthy = self.symptoms.unhealthy(now, primary, group.term);
-        let cut_off = unhealthy.any(|(_, sight)| sight == Sight::CutOff);
+        let cut_off = unhealthy.any(|(_, condition)| condition == Condition::CutOff);
         if settling || !(cut_off || by_all) || !self.has_successor(context, primary) {
             self.unhealthy_since = None;
             return false;
--- a/components/control/src/detector.rs
+++ b/components/control/src/detector.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use base::prelude::*;
-use wire::control::{Sight, Symptom};
+use wire::control::{Condition, Symptom};
 
 use crate::state::{Group, State};
 use crate::watch::Watch;
@@ -65,11 +65,12 @@
         now: Instant,
         primary: &Name,
         term: Term,
-    ) -> impl Iterator<Item = (&Name, Sight)> {
+    ) -> impl Iterator<Item = (&Name, Condition)> {
         self.keepers.iter().filter_map(move |(keeper, (symptom, at))| {
             let meant = symptom.server == primary.as_str() && symptom.term == term.0;
-            let bad = symptom.sight() != Sight::Healthy && now.since(*at) <= SYMPTOM_LIFETIME;
-            (meant && bad).then(|| (keeper, symptom.sight()))
+            let bad =
+                symptom.condition() != Condition::Healthy && now.since(*at) <= SYMPTOM_LIFETIME;
+            (meant && bad).then(|| (keeper, symptom.condition()))
         })
     }
 }
--- a/components/control/src/liveness.rs
+++ b/components/control/src/liveness.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use base::prelude::*;
-use wire::log::{Part, command};
+use wire::log::{Leave, command};
 
 use crate::flaw::Flaw;
 use crate::leader::{Effect, PROPOSAL_TIMEOUT};
@@ -141,8 +141,8 @@
             if (silent || record.left) && !waits {
                 record.proposed = Some(now);
                 let over = record.left;
-                let part = Part { entry: entry.to_string(), incarnation: *incarnation, over };
-                out.push(Effect::propose(command::Body::Part(part)));
+                let leave = Leave { entry: entry.to_string(), incarnation: *incarnation, over };
+                out.push(Effect::propose(command::Body::Leave(leave)));
             }
         }
         self.drop_departed(now, state, out);
@@ -186,7 +186,11 @@
             }
             record.proposed = Some(now);
             let (entry, incarnation) = (entry.to_string(), *incarnation);
-            out.push(Effect::propose(command::Body::Part(Part { entry, incarnation, over: true })));
+            out.push(Effect::propose(command::Body::Leave(Leave {
+                entry,
+                incarnation,
+                over: true,
+            })));
         }
     }
 }
--- a/components/control/tests/designation.rs
+++ b/components/control/tests/designation.rs
@@ -7,8 +7,8 @@
 use control::leader::TICK;
 use control::lease::LEASE_DURATION;
 use control::{Ask, Effect, Event, Leader, Leadership, Phase, ProbeError, State};
-use wire::control::{Seal, Sight, Symptom};
-use wire::log::{Announce, Command, Join, Part, Replace, command};
+use wire::control::{Condition, Seal, Symptom};
+use wire::log::{Announce, Command, Join, Leave, Replace, command};
 
 const TOKEN: u64 = 7;
 
@@ -196,12 +196,12 @@
         self.servers.get_mut(server).unwrap().mark = Mark::new(1, position);
     }
 
-    fn symptom(&mut self, entry: &str, sight: Sight) {
+    fn symptom(&mut self, entry: &str, condition: Condition) {
         let symptom = Symptom {
             group: "g".to_owned(),
             server: self.primary().unwrap().to_owned(),
             term: self.state.groups["g"].term.0,
-            sight: sight as i32,
+            condition: condition as i32,
         };
         self.tell(Event::Symptom { entry: name(entry), symptom });
     }
@@ -226,8 +226,8 @@
     /// Ends the primary's process; both keepers report the refused connections.
     fn crash(&mut self) {
         self.set("s0", Health::Refusing);
-        self.symptom("e1", Sight::Refused);
-        self.symptom("e2", Sight::Refused);
+        self.symptom("e1", Condition::Refused);
+        self.symptom("e2", Condition::Refused);
         self.pass(300);
         assert_eq!(self.phase(), Phase::Intended);
     }
@@ -291,7 +291,11 @@
     world.seal("e1", 100);
     world.beats = vec![("e1", 1)];
     // what e2 acknowledged is unknown, and the only replica may lack it
-    world.commit(command::Body::Part(Part { entry: "e2".to_owned(), incarnation: 1, over: true }));
+    world.commit(command::Body::Leave(Leave {
+        entry: "e2".to_owned(),
+        incarnation: 1,
+        over: true,
+    }));
     world.pass(3_000);
     assert_eq!(world.phase(), Phase::Intended);
     world.set("s2", Health::Up);
@@ -317,8 +321,8 @@
     world.crash();
     world.beats = vec![("e1", 1)];
     // the earlier leader removed the entry and may have confirmed a heartbeat since
-    let part = Part { entry: "e2".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Part(part));
+    let leave = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(leave));
     world.leader =
         Leader::with_leadership(world.now, Leadership { token: TOKEN + 1, last_chosen: None });
     world.seal("e1", 100);
@@ -380,8 +384,8 @@
     let mut world = World::new();
     for _ in 0..3 {
         if world.primary().is_some() {
-            world.symptom("e1", Sight::Silent);
-            world.symptom("e2", Sight::Silent);
+            world.symptom("e1", Condition::Silent);
+            world.symptom("e2", Condition::Silent);
         }
         world.pass(500);
     }
@@ -392,7 +396,7 @@
 fn keeps_a_primary_that_one_keeper_misses() {
     let mut world = World::new();
     for _ in 0..6 {
-        world.symptom("e1", Sight::Silent);
+        world.symptom("e1", Condition::Silent);
         world.pass(500);
     }
     assert_eq!(world.primary(), Some("s0"));
--- a/components/control/tests/failover.rs
+++ b/components/control/tests/failover.rs
@@ -12,7 +12,7 @@
 use base::prelude::*;
 use control::{Ask, Effect, Event, Flaw, Leader, Phase, ProbeError, State};
 use group::{Record, Server, replicate};
-use wire::control::{Sight, Symptom};
+use wire::control::{Condition, Symptom};
 use wire::log::{Announce, Command, Configure, command};
 
 const STEPS: usize = 220;
@@ -328,12 +328,17 @@
         let Some(primary) = group.primary.clone() else {
             return Ok(());
         };
-        let sight = *u.choose(&[Sight::Refused, Sight::Silent, Sight::CutOff, Sight::Healthy])?;
+        let condition = *u.choose(&[
+            Condition::Refused,
+            Condition::Silent,
+            Condition::CutOff,
+            Condition::Healthy,
+        ])?;
         let symptom = Symptom {
             group: "g".to_owned(),
             server: primary.to_string(),
             term: group.term.0,
-            sight: sight as i32,
+            condition: condition as i32,
         };
         let entry = Name::new("e1").unwrap();
         self.tell(u, Event::Symptom { entry, symptom })
--- a/components/control/tests/leader.rs
+++ b/components/control/tests/leader.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use control::lease::{LEASE_DURATION, LEASE_MARGIN};
 use control::{Ask, Effect, Event, Flaw, Leader, Outcome, Refusal, State};
-use wire::log::{Announce, Assign, Command, Configure, Establish, Join, Part, command};
+use wire::log::{Announce, Assign, Command, Configure, Establish, Join, Leave, command};
 
 const TICK: Duration = control::leader::TICK;
 
@@ -193,8 +193,8 @@
     let group = &world.state.groups["g"];
     let lease = wire::log::Lease { entry: "e2".to_owned(), incarnation: 1, ..Default::default() };
     let assign = Assign { group: "g".to_owned(), base: group.generation, leases: vec![lease] };
-    let part = Part { entry: "e2".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Part(part));
+    let leave = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(leave));
     let outcome = world.commit(command::Body::Assign(assign));
     assert_eq!(outcome, Outcome::Refused(Refusal::Generation));
 }
@@ -228,8 +228,8 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    let part = Part { entry: "e1".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Part(part));
+    let leave = Leave { entry: "e1".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(leave));
     world.leader = Leader::with_flaw(world.now, flaw);
     world.tell(Event::Joined(join("e2", 1, "a")));
     world.pass(LEASE_DURATION, &[("e2", 1)]);
@@ -258,8 +258,8 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    let part = Part { entry: "e1".to_owned(), incarnation: 1, over: true };
-    world.commit(command::Body::Part(part));
+    let leave = Leave { entry: "e1".to_owned(), incarnation: 1, over: true };
+    world.commit(command::Body::Leave(leave));
     world.leader = Leader::new(world.now);
     world.tell(Event::Joined(join("e2", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e2", 1)]);
--- a/components/entry/src/front/dispatch.rs
+++ b/components/entry/src/front/dispatch.rs
@@ -191,7 +191,7 @@
         }
         self.sink.flush().await?;
         let until = self.front.clock.now() + limit;
-        let retryable = self.class == Class::Read && !self.run.within;
+        let retryable = self.class == Class::Read && !self.run.in_transaction;
         loop {
             let now = self.front.clock.now();
             let step = until.since(now).min(RESPONSE_CHECK_INTERVAL);
--- a/components/entry/src/front/keepers.rs
+++ b/components/entry/src/front/keepers.rs
@@ -10,7 +10,7 @@
 use control::State;
 use link::{Peer, Purpose};
 use slog::{Logger, info, warn};
-use wire::data::{Farewell, ask};
+use wire::data::{Shutdown, ask};
 
 use super::choose::Keeper;
 use super::link::{Link, NotSent};
@@ -154,7 +154,7 @@
     pub async fn send_farewell(&self) {
         let links: Vec<_> = self.slots().values().filter_map(|slot| slot.live()).collect();
         for link in links {
-            link.send(ask::Body::Farewell(Farewell {})).await;
+            link.send(ask::Body::Shutdown(Shutdown {})).await;
         }
     }
 
--- a/components/entry/src/front/link.rs
+++ b/components/entry/src/front/link.rs
@@ -2,7 +2,7 @@
 //!
 //! A request is marked as sent before its first byte is written, so a request that
 //! is not marked when the link breaks was not run. When a keeper announces that it
-//! is stopping, the front answers with a farewell message and from then on sends
+//! is stopping, the front answers with a shutdown message and from then on sends
 //! only requests of open transactions. The keeper closes the link after that.
 
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 use link::{Reader, Writer};
 use tokio::sync::{Notify, mpsc};
 use tokio_util::sync::CancellationToken;
-use wire::data::{Answer, Ask, Cancel, Credit, End, Farewell, Part, Ping, Run, answer, ask};
+use wire::data::{Answer, Ask, Cancel, Credit, End, Part, Ping, Run, Shutdown, answer, ask};
 
 /// Bytes of an answer that a keeper may send before it is granted more credit.
 pub const WINDOW_BYTES: u64 = 256 << 10;
@@ -79,8 +79,8 @@
     open: HashMap<u64, Pending>,
     /// Whether the link is closed, so that no request can be added.
     broken: bool,
-    /// Whether the farewell was sent: only requests of open transactions follow it.
-    farewell: bool,
+    /// Whether the shutdown was sent: only requests of open transactions follow it.
+    shutdown: bool,
 }
 
 /// A link to a keeper.
@@ -221,9 +221,9 @@
         loop {
             let ask = tokio::select! {
                 ask = queue.recv() => ask,
-                // the keeper waits for the farewell, so that no request that was
+                // the keeper waits for the shutdown, so that no request that was
                 // already sent is lost
-                () = self.closing_notify.notified() => Some(farewell()),
+                () = self.closing_notify.notified() => Some(shutdown()),
                 () = self.ended.cancelled() => None,
             };
             let Some(ask) = ask else {
@@ -245,12 +245,12 @@
     fn write_message(&self, writer: &mut Writer, ask: &Ask) {
         let mut table = self.table();
         let Some(ask::Body::Run(run)) = &ask.body else {
-            table.farewell |= matches!(ask.body, Some(ask::Body::Farewell(_)));
+            table.shutdown |= matches!(ask.body, Some(ask::Body::Shutdown(_)));
             // messages other than Run are never oversized
             drop(writer.put(ask));
             return;
         };
-        if table.farewell && !run.within {
+        if table.shutdown && !run.in_transaction {
             if let Some(pending) = table.open.remove(&run.request) {
                 drop(pending.events.send(Event::Broken { sent: false }));
             }
@@ -328,8 +328,8 @@
     }
 }
 
-fn farewell() -> Ask {
-    Ask { body: Some(ask::Body::Farewell(Farewell {})) }
+fn shutdown() -> Ask {
+    Ask { body: Some(ask::Body::Shutdown(Shutdown {})) }
 }
 
 /// A request that was handed to a link.
--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -379,7 +379,7 @@
             service: self.database.to_string(),
             group: group.to_string(),
             class: class as i32,
-            within,
+            in_transaction: within,
             floor: self.floor.map(Into::into),
             fresh: declared.age_ms == 0,
             age_ms: declared.age_ms,
--- a/components/entry/src/front/run.rs
+++ b/components/entry/src/front/run.rs
@@ -95,7 +95,7 @@
             service: session.service.as_str().to_owned(),
             group: session.group.as_str().to_owned(),
             class: admit::wire_class(class) as i32,
-            within,
+            in_transaction: within,
             floor: floor.map(Into::into),
             fresh: floor.is_none() || (class == Class::Read && rule.age.is_zero()),
             age_ms: millis(rule.age),
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -47,13 +47,13 @@
     /// Task that reads from the link; aborting it closes the link.
     task: Mutex<Option<AbortHandle>>,
     /// Whether the front has announced that it sends no more requests.
-    farewell: AtomicBool,
+    shutdown: AtomicBool,
 }
 
 impl Link {
     fn is_busy(&self) -> bool {
         let has_answers = self.answers.capacity() < self.answers.max_capacity();
-        has_answers || !self.farewell.load(Ordering::Acquire)
+        has_answers || !self.shutdown.load(Ordering::Acquire)
     }
 
     /// Queues an answer; closes the link if its queue is full or closed.
@@ -71,7 +71,7 @@
     fn add(&self, answers: mpsc::Sender<Answer>) -> (Front, Arc<Link>) {
         let front = Front(self.next.fetch_add(1, Ordering::Relaxed));
         let (requests, task) = (Mutex::default(), Mutex::default());
-        let link = Arc::new(Link { answers, requests, task, farewell: AtomicBool::new(false) });
+        let link = Arc::new(Link { answers, requests, task, shutdown: AtomicBool::new(false) });
         lock(&self.links).insert(front, Arc::clone(&link));
         if self.closing.load(Ordering::Acquire) {
             link.send(answer::Body::Closing(Closing {}));
@@ -222,7 +222,7 @@
             }
         }
         ask::Body::Ping(_) => link.send(answer::Body::Pong(Pong {})),
-        ask::Body::Farewell(_) => link.farewell.store(true, Ordering::Release),
+        ask::Body::Shutdown(_) => link.shutdown.store(true, Ordering::Release),
     }
 }
 
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -231,7 +231,7 @@
                 }
             }
             Effect::Report(symptom) => {
-                let sight = symptom.sight().to_string();
+                let sight = symptom.condition().to_string();
                 let (server, term) = (symptom.server.as_str(), symptom.term);
                 Sighted { group: &self.name, server, sight: &sight, term }.log(&self.host.log);
                 self.host.view.report(symptom);
--- a/components/entry/tests/fake/mod.rs
+++ b/components/entry/tests/fake/mod.rs
@@ -70,7 +70,7 @@
     fn run(&self, run: &Run) -> (bytes::Bytes, Status) {
         let mut pinned = self.pinned.lock().unwrap();
         let mut idle = self.server.lock().unwrap();
-        assert_eq!(run.within, pinned.contains_key(&run.caller));
+        assert_eq!(run.in_transaction, pinned.contains_key(&run.caller));
         let mut server = pinned.remove(&run.caller).unwrap_or_else(|| std::mem::take(&mut idle));
         *self.run_counts.lock().unwrap().entry(run.payload.clone()).or_default() += 1;
         let answer = server.run(run.payload.clone());
--- a/components/entry/tests/flush.rs
+++ b/components/entry/tests/flush.rs
@@ -33,7 +33,7 @@
     let commit = statement("COMMIT");
     assert_eq!(client.exchange(&[&commit, SYNC], 4).await, "12CZ");
     let runs = bench.shared.runs();
-    assert_eq!(runs.iter().map(|run| run.within).collect::<Vec<_>>(), [false, true, true]);
+    assert_eq!(runs.iter().map(|run| run.in_transaction).collect::<Vec<_>>(), [false, true, true]);
 }
 
 #[tokio::test]
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -61,7 +61,10 @@
     transaction.query(&statement, &[]).await.unwrap();
     transaction.commit().await.unwrap();
     let runs = bench.shared.runs();
-    assert_eq!(runs.iter().map(|run| run.within).collect::<Vec<_>>(), [false, true, true, true]);
+    assert_eq!(
+        runs.iter().map(|run| run.in_transaction).collect::<Vec<_>>(),
+        [false, true, true, true]
+    );
     assert!(runs.iter().all(|run| run.caller == runs[0].caller));
     assert!(runs[3].commits && !runs[2].commits);
 }
@@ -162,9 +165,10 @@
     }
     open.simple_query("COMMIT").await.unwrap();
     let asks = shared[stopping].asks.lock().unwrap();
-    let farewell = asks.iter().position(|body| matches!(body, ask::Body::Farewell(_)));
-    let later = asks[farewell.expect("a farewell")..].iter();
-    let runs = later.filter(|body| matches!(body, ask::Body::Run(run) if !run.within)).count();
+    let shutdown = asks.iter().position(|body| matches!(body, ask::Body::Shutdown(_)));
+    let later = asks[shutdown.expect("a shutdown")..].iter();
+    let runs =
+        later.filter(|body| matches!(body, ask::Body::Run(run) if !run.in_transaction)).count();
     assert_eq!(runs, 0);
     let commits = |body: &&ask::Body| matches!(body, ask::Body::Run(run) if run.commits);
     assert_eq!(asks.iter().filter(commits).count(), usize::from(within));
--- a/components/entry/tests/keep.rs
+++ b/components/entry/tests/keep.rs
@@ -209,7 +209,7 @@
     /// Runs a statement within the open transaction.
     async fn run_in_transaction(&mut self, sql: &str) -> (Vec<u8>, End) {
         let commits = sql == "COMMIT";
-        let run = Run { within: true, commits, ..self.run(sql) };
+        let run = Run { in_transaction: true, commits, ..self.run(sql) };
         self.ask(run).await
     }
 }
--- a/components/keeper/src/admission.rs
+++ b/components/keeper/src/admission.rs
@@ -40,7 +40,7 @@
             return;
         }
         let owner = (front, run.caller);
-        if !run.within
+        if !run.in_transaction
             && let Some(conn) = self.pins.get(&owner).copied()
         {
             self.abandon(now, conn, out);
@@ -76,7 +76,7 @@
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        if let Some(conn) = pinned.filter(|_| request.run.within) {
+        if let Some(conn) = pinned.filter(|_| request.run.in_transaction) {
             request.stage = Stage::Urgent(conn);
             let server = self.conns.get(conn).map(|conn| conn.server);
             if let Some(server) = server.and_then(|server| self.servers.get_mut(server)) {
@@ -200,13 +200,14 @@
         run: &Run,
         pinned: Option<Key<Connection>>,
     ) -> Result<Key<Service>, Refusal> {
-        let refusal = if run.within { self.refusal_within(pinned) } else { self.refusal(run) };
+        let refusal =
+            if run.in_transaction { self.refusal_within(pinned) } else { self.refusal(run) };
         if let Some(refusal) = refusal {
             return Err(refusal);
         }
         let key = self.service(&run.service).ok_or_else(|| Refusal::new(Reason::Refused))?;
         let full = |service: &Service| service.open_requests >= service.limits.queue;
-        if !run.within && self.services.get(key).is_none_or(full) {
+        if !run.in_transaction && self.services.get(key).is_none_or(full) {
             return Err(Refusal::after(Reason::QueueFull, QUEUE_RETRY_AFTER));
         }
         Ok(key)
--- a/components/keeper/src/cycle.rs
+++ b/components/keeper/src/cycle.rs
@@ -270,7 +270,7 @@
         if !request.may_commit() {
             return self.finish(now, key, Outcome::NotRun, Reason::TransactionGone, out);
         }
-        let read = request.class == Class::Read && !request.run.within;
+        let read = request.class == Class::Read && !request.run.in_transaction;
         if self.unfenced.is_some() && !read {
             // an unfenced server keeps no history of terms, so the outcome stays unknown
             return self.finish(now, key, Outcome::Unknown, Reason::Broken, out);
--- a/components/keeper/src/dispatch.rs
+++ b/components/keeper/src/dispatch.rs
@@ -216,7 +216,7 @@
             attempt.position_before =
                 status.received.max(marked.map_or(Position(0), |m| m.position));
         }
-        let pinned = self.conns.get(conn).filter(|_| request.run.within);
+        let pinned = self.conns.get(conn).filter(|_| request.run.in_transaction);
         if let Some(pinned) = pinned.filter(|pinned| pinned.term != attempt.term) {
             attempt.term = pinned.term;
             attempt.position_before = Position::default();
@@ -227,7 +227,7 @@
             attempt.index = unfenced.index;
             return attempt;
         }
-        if attempt.primary && !request.run.within {
+        if attempt.primary && !request.run.in_transaction {
             let blind_write = request.class != Class::Read && request.floor.is_none();
             let since =
                 if blind_write { Some(request.arrived) } else { request.sampled_since(now) };
--- a/components/keeper/src/health.rs
+++ b/components/keeper/src/health.rs
@@ -1,7 +1,7 @@
 //! Detection of symptoms of a failed primary, which are reported to control.
 
 use base::prelude::*;
-use wire::control::{Sight, Symptom};
+use wire::control::{Condition, Symptom};
 
 use crate::event::{Effect, Outage};
 use crate::group::Group;
@@ -32,7 +32,7 @@
         let Some(symptom) = self.symptom(now) else {
             return;
         };
-        let bad = symptom.sight != Sight::Healthy as i32;
+        let bad = symptom.condition != Condition::Healthy as i32;
         let known = self.health.last_symptom.as_ref();
         let same = known == Some(&symptom) || (known.is_none() && !bad);
         let due = bad && now.since(self.health.reported_at) >= REPORT_INTERVAL;
@@ -52,28 +52,28 @@
             None => (control_primary()?, Term::default()),
         };
         let server = self.servers.get(key)?;
-        let (term, sight) = match &self.unfenced {
-            Some(unfenced) => (unfenced.term, self.unfenced_sight(now, key)),
-            None => (term, self.sight(now, server)),
+        let (term, condition) = match &self.unfenced {
+            Some(unfenced) => (unfenced.term, self.unfenced_condition(now, key)),
+            None => (term, self.condition(now, server)),
         };
         Some(Symptom {
             group: self.name.to_string(),
             server: server.name.to_string(),
             term: term.0,
-            sight: sight as i32,
+            condition: condition as i32,
         })
     }
 
-    fn sight(&self, now: Instant, primary: &Server) -> Sight {
+    fn condition(&self, now: Instant, primary: &Server) -> Condition {
         if primary.outage == Some(Outage::Refused) {
-            return Sight::Refused;
+            return Condition::Refused;
         }
         if now.since(primary.last_heard) > PRIMARY_SILENCE_LIMIT {
-            return Sight::Silent;
+            return Condition::Silent;
         }
         let replicas = (self.declared as usize).saturating_sub(1);
         let lost = self.servers.iter().filter(|(_, server)| has_lost_primary(now, server)).count();
-        if replicas > 0 && lost > replicas / 2 { Sight::CutOff } else { Sight::Healthy }
+        if replicas > 0 && lost > replicas / 2 { Condition::CutOff } else { Condition::Healthy }
     }
 }
 
--- a/components/keeper/src/request.rs
+++ b/components/keeper/src/request.rs
@@ -167,19 +167,19 @@
 
     /// Whether the request may be sent to a replica.
     pub(crate) fn is_read(&self) -> bool {
-        self.class == Class::Read && !self.run.within
+        self.class == Class::Read && !self.run.in_transaction
     }
 
     /// Whether the request may have committed data, regardless of its declared
     /// class.
     pub(crate) fn may_commit(&self) -> bool {
-        let reads = self.run.within && self.class == Class::Read;
-        !reads && (!self.run.within || self.run.commits || self.attempt.committed)
+        let reads = self.run.in_transaction && self.class == Class::Read;
+        !reads && (!self.run.in_transaction || self.run.commits || self.attempt.committed)
     }
 
     /// Whether the answer is held back from the first completed statement on.
     pub(crate) fn holds_answer(&self) -> bool {
-        self.attempt.primary && (!self.run.within || self.run.commits)
+        self.attempt.primary && (!self.run.in_transaction || self.run.commits)
     }
 
     /// Whether the last attempt ended with a server error.
--- a/components/keeper/src/resolve.rs
+++ b/components/keeper/src/resolve.rs
@@ -1,6 +1,6 @@
 //! Acknowledgement by a majority, and the outcome of requests in doubt.
 
-use base::mark::Fate;
+use base::mark::Inclusion;
 use base::prelude::*;
 use wire::data::{Class, Outcome, Reason};
 
@@ -167,7 +167,7 @@
         let status = self.servers.get(primary)?.status()?;
         let statuses = self.servers.iter().filter_map(|(_, server)| server.status());
         let in_term = statuses.filter(|s| s.term == term && s.log_term >= term).count();
-        let has_records = status.log_term == term && status.history.last() == Some(term);
+        let has_records = status.log_term == term && status.history.last_term() == Some(term);
         let history = status.history.clone();
         (has_records && in_term >= self.majority()).then_some(Established {
             term,
@@ -248,7 +248,7 @@
 
 /// Derives the outcome of a cycle from the history of a later term.
 fn outcome_by_history(attempt: &Attempt, established: &Established) -> Outcome {
-    let Some(next) = established.history.next(attempt.term) else {
+    let Some(next) = established.history.start_after(attempt.term) else {
         return Outcome::Unknown;
     };
     if attempt.completion.is_some() && !attempt.durable {
@@ -256,9 +256,9 @@
     }
     let truncated = attempt.position_before >= next.position;
     if let Some(mark) = attempt.mark_after {
-        return match established.history.fate(mark) {
-            Fate::Survived if attempt.verify_since.is_none() => Outcome::Done,
-            Fate::Lost if truncated => Outcome::NotRun,
+        return match established.history.inclusion(mark) {
+            Inclusion::Included if attempt.verify_since.is_none() => Outcome::Done,
+            Inclusion::Truncated if truncated => Outcome::NotRun,
             _ => Outcome::Unknown,
         };
     }
--- a/components/keeper/src/unfenced.rs
+++ b/components/keeper/src/unfenced.rs
@@ -274,7 +274,7 @@
         };
         let Reported { status, fault, mark, .. } = reported;
         let (service, owner, orphan) = (request.service, request.owner(), request.orphan);
-        let (within, writes) = (request.run.within, request.class != Class::Read);
+        let (within, writes) = (request.run.in_transaction, request.class != Class::Read);
         let attempt = &mut request.attempt;
         let primary = attempt.primary;
         let sent_at = attempt.sent_at;
--- a/components/keeper/src/unfenced/stall.rs
+++ b/components/keeper/src/unfenced/stall.rs
@@ -2,7 +2,7 @@
 //! health of the servers.
 
 use base::prelude::*;
-use wire::control::Sight;
+use wire::control::Condition;
 use wire::data::Class;
 
 use super::Commits;
@@ -93,7 +93,7 @@
         if request.class != Class::Read && request.may_commit() {
             return false;
         }
-        let spare = !request.run.within && !request.attempt.primary;
+        let spare = !request.run.in_transaction && !request.attempt.primary;
         let limit = if spare {
             READ_STALL.max(self.typical_run_time * SLOW_READ_FACTOR)
         } else {
@@ -106,11 +106,11 @@
     }
 
     /// Determines the health of the primary from the statements that it runs.
-    pub(crate) fn unfenced_sight(&self, now: Instant, key: Key<Server>) -> Sight {
-        let Some(server) = self.servers.get(key) else { return Sight::Healthy };
+    pub(crate) fn unfenced_condition(&self, now: Instant, key: Key<Server>) -> Condition {
+        let Some(server) = self.servers.get(key) else { return Condition::Healthy };
         match server.outage {
-            Some(Outage::Refused) => return Sight::Refused,
-            Some(Outage::Silent) => return Sight::Silent,
+            Some(Outage::Refused) => return Condition::Refused,
+            Some(Outage::Silent) => return Condition::Silent,
             None => {}
         }
         let mut open = self.requests.iter().filter_map(|(_, request)| match request.stage {
@@ -122,10 +122,10 @@
             waits > STATEMENT_STALL && now.since(server.last_heard) > STATEMENT_STALL
         };
         if open.any(silent) {
-            return Sight::Silent;
+            return Condition::Silent;
         }
         let Commits { last_answered, last_stalled } = server.commits;
         let lost = |at: Instant| at > last_answered && now.since(at) < COMMIT_STALL_VALIDITY;
-        if last_stalled.is_some_and(lost) { Sight::CutOff } else { Sight::Healthy }
+        if last_stalled.is_some_and(lost) { Condition::CutOff } else { Condition::Healthy }
     }
 }
--- a/components/keeper/tests/fuzz/world/request.rs
+++ b/components/keeper/tests/fuzz/world/request.rs
@@ -66,7 +66,7 @@
             service: "ring".to_owned(),
             group: "group".to_owned(),
             class: class as i32,
-            within: caller.within,
+            in_transaction: caller.within,
             floor: caller.floor.map(Into::into),
             fresh,
             age_ms: if aged { AGE_MS } else { 0 },
--- a/components/keeper/tests/group.rs
+++ b/components/keeper/tests/group.rs
@@ -8,7 +8,7 @@
 use keeper::{
     Cause, Connection, Count, Effect, Event, Front, Group, Kind, Lease, Outage, Piece, Setup, event,
 };
-use wire::control::{Sight, Symptom};
+use wire::control::{Condition, Symptom};
 use wire::data::{Class, End, Outcome, Reason, Run};
 
 const FRONT: Front = Front(1);
@@ -359,10 +359,10 @@
     assert!(bench.out.contains(&cause));
 }
 
-fn sights(out: &mut Vec<Effect>) -> Vec<Sight> {
-    let sight = |symptom: Symptom| Sight::try_from(symptom.sight).unwrap();
+fn conditions(out: &mut Vec<Effect>) -> Vec<Condition> {
+    let condition = |symptom: Symptom| Condition::try_from(symptom.condition).unwrap();
     let reports = out.drain(..).filter_map(|effect| match effect {
-        Effect::Report(symptom) => Some(sight(symptom)),
+        Effect::Report(symptom) => Some(condition(symptom)),
         _ => None,
     });
     reports.collect()
@@ -373,14 +373,14 @@
     let mut bench = Bench::ready(3);
     let (server, outage) = (name("server-0"), Outage::Refused);
     bench.feed(Event::Unreachable { server, outage });
-    assert_eq!(sights(&mut bench.out), [Sight::Refused]);
+    assert_eq!(conditions(&mut bench.out), [Condition::Refused]);
     bench.pass(500);
-    assert!(sights(&mut bench.out).is_empty());
+    assert!(conditions(&mut bench.out).is_empty());
     bench.pass(500);
-    assert_eq!(sights(&mut bench.out), [Sight::Refused]);
+    assert_eq!(conditions(&mut bench.out), [Condition::Refused]);
     bench.report_all(3, 2);
     bench.pass(10);
-    assert_eq!(sights(&mut bench.out), [Sight::Healthy]);
+    assert_eq!(conditions(&mut bench.out), [Condition::Healthy]);
 }
 
 #[test]
@@ -391,7 +391,7 @@
         let status = Status { silence, ..status(index, 1, 10, 2) };
         bench.feed(Event::Status { status, sent: bench.now });
         bench.pass(1);
-        let lost = if index == 2 { vec![Sight::CutOff] } else { Vec::new() };
-        assert_eq!(sights(&mut bench.out), lost);
+        let lost = if index == 2 { vec![Condition::CutOff] } else { Vec::new() };
+        assert_eq!(conditions(&mut bench.out), lost);
     }
 }
--- a/components/keeper/tests/unfenced/bench.rs
+++ b/components/keeper/tests/unfenced/bench.rs
@@ -10,7 +10,7 @@
     Connection, Effect, Event, Front, Group, Kind, Lease, Piece, Reported, Setup, Unfenced,
 };
 use plain::Fault;
-use wire::control::Sight;
+use wire::control::Condition;
 use wire::data::{Class, End, Run};
 
 pub const FRONT: Front = Front(1);
@@ -216,12 +216,12 @@
     }
 
     /// The symptoms of the primary that were reported. Keeps the effects.
-    pub fn sights(&self) -> Vec<Sight> {
-        let sights = self.out.iter().filter_map(|effect| match effect {
-            Effect::Report(symptom) => Some(symptom.sight()),
+    pub fn conditions(&self) -> Vec<Condition> {
+        let conditions = self.out.iter().filter_map(|effect| match effect {
+            Effect::Report(symptom) => Some(symptom.condition()),
             _ => None,
         });
-        sights.collect()
+        conditions.collect()
     }
 
     pub fn seals(&mut self) -> Vec<(u64, Option<Mark>, u64)> {
@@ -235,5 +235,12 @@
 
 /// A statement in the transaction of one fixed caller.
 pub fn transaction(within: bool, commits: bool) -> Run {
-    Run { class: Class::Write as i32, fresh: true, caller: 77, within, commits, ..Run::default() }
+    Run {
+        class: Class::Write as i32,
+        fresh: true,
+        caller: 77,
+        in_transaction: within,
+        commits,
+        ..Run::default()
+    }
 }
--- a/components/keeper/tests/unfenced/reach.rs
+++ b/components/keeper/tests/unfenced/reach.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use keeper::{Event, Outage};
-use wire::control::Sight;
+use wire::control::Condition;
 use wire::data::{Class, Run};
 
 use crate::bench::{Bench, name};
@@ -43,12 +43,12 @@
     for _ in 0..20 {
         bench.pass(100);
         bench.read(0, None);
-        seen.extend(bench.sights());
+        seen.extend(bench.conditions());
         if let Some((conn, ..)) = bench.sent().into_iter().find(|(_, s, ..)| s == "server-0") {
             bench.answer(conn, b'I', Mark::new(1, 100));
         }
     }
-    assert!(seen.contains(&Sight::CutOff), "{seen:?}");
+    assert!(seen.contains(&Condition::CutOff), "{seen:?}");
 }
 
 #[test]
--- a/components/link/src/frame.rs
+++ b/components/link/src/frame.rs
@@ -43,8 +43,8 @@
     /// Safe to drop while it waits: what has come is kept.
     ///
     /// # Errors
-    /// [`Failure::Io`], [`Failure::Oversized`], [`Failure::Cut`] within a
-    /// frame, [`Failure::Garbled`] when a frame is no such message.
+    /// [`Failure::Io`], [`Failure::Oversized`], [`Failure::UnexpectedEof`] within a
+    /// frame, [`Failure::Malformed`] when a frame is no such message.
     pub async fn next<M: Message + Default>(&mut self) -> Result<Option<M>, Report<Failure>> {
         loop {
             if let Some(message) = self.take()? {
@@ -53,7 +53,7 @@
             let read = self.io.read_buf(&mut self.buffer).await.change_context(Failure::Io)?;
             match (read, self.buffer.is_empty()) {
                 (0, true) => return Ok(None),
-                (0, false) => return Err(Report::new(Failure::Cut)),
+                (0, false) => return Err(Report::new(Failure::UnexpectedEof)),
                 _ => {}
             }
         }
@@ -73,7 +73,7 @@
         }
         self.buffer.advance(LENGTH_BYTES);
         let frame = self.buffer.split_to(length).freeze();
-        M::decode(frame).change_context(Failure::Garbled).map(Some)
+        M::decode(frame).change_context(Failure::Malformed).map(Some)
     }
 }
 
@@ -99,7 +99,7 @@
             return Err(Report::new(Failure::Oversized { bytes: length }));
         }
         self.buffer.extend_from_slice(&(length as u32).to_be_bytes());
-        message.encode(&mut self.buffer).change_context(Failure::Garbled)
+        message.encode(&mut self.buffer).change_context(Failure::Malformed)
     }
 
     /// Bytes that wait for [`Writer::flush`].
--- a/components/link/src/key.rs
+++ b/components/link/src/key.rs
@@ -7,25 +7,25 @@
 use sha2::Sha256;
 
 /// Least length of a key in bytes.
-pub const LEAST_BYTES: usize = 16;
+pub const MIN_BYTES: usize = 16;
 
 /// Length of a proof in bytes.
 pub const PROOF_BYTES: usize = 32;
 
 /// A key that is too short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Short {
+pub struct TooShort {
     /// Its length in bytes.
     pub bytes: usize,
 }
 
-impl fmt::Display for Short {
+impl fmt::Display for TooShort {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the key has {} bytes, at least {LEAST_BYTES} are needed", self.bytes)
+        write!(f, "the key has {} bytes, at least {MIN_BYTES} are needed", self.bytes)
     }
 }
 
-impl std::error::Error for Short {}
+impl std::error::Error for TooShort {}
 
 /// A shared key. Its debug form shows nothing of it.
 #[derive(Clone)]
@@ -38,10 +38,10 @@
 }
 
 impl Key {
-    /// Takes a key of at least [`LEAST_BYTES`].
-    pub fn new(bytes: &[u8]) -> Result<Self, Report<Short>> {
-        if bytes.len() < LEAST_BYTES {
-            return Err(Report::new(Short { bytes: bytes.len() }));
+    /// Takes a key of at least [`MIN_BYTES`].
+    pub fn new(bytes: &[u8]) -> Result<Self, Report<TooShort>> {
+        if bytes.len() < MIN_BYTES {
+            return Err(Report::new(TooShort { bytes: bytes.len() }));
         }
         Ok(Self(bytes.to_vec()))
     }
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -61,16 +61,16 @@
     /// It took too long.
     Timeout,
     /// The other end closed within a frame.
-    Cut,
+    UnexpectedEof,
     /// A frame is too long.
     Oversized {
         /// Its length in bytes.
         bytes: usize,
     },
     /// A frame is not the message that was due.
-    Garbled,
+    Malformed,
     /// The other end does not hold the key.
-    Unproved,
+    Unauthenticated,
 }
 
 impl fmt::Display for Failure {
@@ -79,10 +79,10 @@
             Self::Connect { address } => write!(f, "could not connect to {address}"),
             Self::Io => f.write_str("reading or writing failed"),
             Self::Timeout => f.write_str("the link took too long"),
-            Self::Cut => f.write_str("the link closed within a frame"),
+            Self::UnexpectedEof => f.write_str("the link closed within a frame"),
             Self::Oversized { bytes } => write!(f, "a frame of {bytes} bytes is too long"),
-            Self::Garbled => f.write_str("a frame is not the message that was due"),
-            Self::Unproved => f.write_str("the other end does not hold the key"),
+            Self::Malformed => f.write_str("a frame is not the message that was due"),
+            Self::Unauthenticated => f.write_str("the other end does not hold the key"),
         }
     }
 }
@@ -144,7 +144,7 @@
 /// Takes an accepted connection and proves both ends.
 ///
 /// # Errors
-/// [`Failure::Timeout`], [`Failure::Unproved`], or a failure of the frames.
+/// [`Failure::Timeout`], [`Failure::Unauthenticated`], or a failure of the frames.
 pub async fn accept(
     stream: TcpStream,
     own: &Peer,
@@ -176,15 +176,15 @@
     let (mut reader, mut writer) = (Reader::new(read), Writer::new(write));
     let hello = own.with_nonce();
     writer.send(&hello).await?;
-    let peer: Peer = reader.next().await?.ok_or(Failure::Cut)?;
+    let peer: Peer = reader.next().await?.ok_or(Failure::UnexpectedEof)?;
     let (mine, theirs) = (hello.encode_to_vec(), peer.encode_to_vec());
     let proof = key.prove(&[side, &mine, &theirs]).to_vec();
     writer.send(&Proof { proof }).await?;
-    let answer: Proof = reader.next().await?.ok_or(Failure::Unproved)?;
+    let answer: Proof = reader.next().await?.ok_or(Failure::Unauthenticated)?;
     let right =
         peer.nonce.len() == NONCE_BYTES && key.verify(&[other, &theirs, &mine], &answer.proof);
     if !right {
-        return Err(Report::new(Failure::Unproved));
+        return Err(Report::new(Failure::Unauthenticated));
     }
     Ok((peer, reader, writer))
 }
--- a/components/link/src/socket.rs
+++ b/components/link/src/socket.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 
 /// Time after which sent bytes that were not confirmed break a connection.
-pub const UNCONFIRMED_TIMEOUT: Duration = Duration::from_millis(2_500);
+pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Time without traffic after which the other end is asked whether it lives.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(2);
@@ -23,7 +23,7 @@
 pub fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNCONFIRMED_TIMEOUT))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_TIME)
         .with_interval(KEEPALIVE_INTERVAL)
--- a/components/local/src/cluster.rs
+++ b/components/local/src/cluster.rs
@@ -300,7 +300,7 @@
 }
 
 fn draw_key() -> link::Key {
-    let mut bytes = [0; link::key::LEAST_BYTES * 2];
+    let mut bytes = [0; link::key::MIN_BYTES * 2];
     rand::Rng::fill_bytes(&mut rand::rng(), &mut bytes);
     link::Key::new(&bytes).expect("the key is long enough")
 }
--- a/components/member/src/answer.rs
+++ b/components/member/src/answer.rs
@@ -10,7 +10,7 @@
 use wire::Message as _;
 use wire::control::{Confirm, Down, down};
 use wire::log::Command;
-use wire::quorum::Pulse;
+use wire::quorum::Heartbeat;
 
 use crate::core::Core;
 use crate::follow::Follower;
@@ -41,9 +41,9 @@
 #[derive(Debug)]
 pub(crate) enum Read {
     /// An entry's beat.
-    Beat { key: Key<Follower>, sequence: u64, pulse: Pulse },
+    Beat { key: Key<Follower>, sequence: u64, heartbeat: Heartbeat },
     /// Leases that an entry gave up in an earlier beat that was not confirmed.
-    Returned { key: Key<Follower>, pulse: Pulse },
+    Returned { key: Key<Follower>, heartbeat: Heartbeat },
     /// A designation that needs a quorum behind it.
     Designate(Designation),
     /// The declarations.
@@ -97,8 +97,8 @@
     pub(crate) fn unconfirm(&mut self, token: u64) {
         match self.reads.remove(&token) {
             Some(Read::Config(reply)) => drop(reply.send(Err(Unled))),
-            Some(Read::Beat { key, pulse, .. } | Read::Returned { key, pulse }) => {
-                self.keep_returned(key, pulse);
+            Some(Read::Beat { key, heartbeat, .. } | Read::Returned { key, heartbeat }) => {
+                self.keep_returned(key, heartbeat);
             }
             // the leader asks again, if it still leads
             Some(Read::Designate(_)) | None => {}
--- a/components/member/src/api.rs
+++ b/components/member/src/api.rs
@@ -5,7 +5,7 @@
 use control::{Outcome, Refusal};
 use tokio::sync::oneshot;
 use wire::log::{Announce, Command, Replace, command};
-use wire::pack::{self, Garbled};
+use wire::pack::{self, Malformed};
 
 use crate::input::{Input, Sender, Unled, Verdict};
 
@@ -42,8 +42,8 @@
     /// The document that it was read from.
     ///
     /// # Errors
-    /// [`Garbled`] when the state holds another's bytes.
-    pub fn document(&self) -> Result<Vec<u8>, Report<Garbled>> {
+    /// [`Malformed`] when the state holds another's bytes.
+    pub fn document(&self) -> Result<Vec<u8>, Report<Malformed>> {
         pack::unpack(&self.packed)
     }
 }
--- a/components/member/src/entry.rs
+++ b/components/member/src/entry.rs
@@ -29,7 +29,7 @@
     let first = tokio::time::timeout(FOLLOW_TIMEOUT, reader.next::<Up>()).await;
     let first = first.change_context(Failure::Timeout)??;
     let Some(Up { body: Some(up::Body::Follow(follow)) }) = first else {
-        return Err(Report::new(Failure::Garbled));
+        return Err(Report::new(Failure::Malformed));
     };
     let (sender, mut due) = mpsc::channel(QUEUE);
     let (reply, opened) = oneshot::channel();
@@ -62,7 +62,7 @@
             Some(up::Body::Symptom(symptom)) => Input::Symptom { key, symptom },
             Some(up::Body::Leave(_)) => Input::Left { key },
             Some(up::Body::Seal(seal)) => Input::Seal { key, seal },
-            Some(up::Body::Follow(_)) => return Err(Report::new(Failure::Garbled)),
+            Some(up::Body::Follow(_)) => return Err(Report::new(Failure::Malformed)),
             None => continue,
         };
         if end.is_cut() {
@@ -85,7 +85,7 @@
         for down in burst.drain(..) {
             if end.is_cut() {
                 // a gap would look like a broken member, so the link ends
-                return Err(Report::new(Failure::Cut));
+                return Err(Report::new(Failure::UnexpectedEof));
             }
             writer.put(&down)?;
         }
--- a/components/member/src/event.rs
+++ b/components/member/src/event.rs
@@ -17,7 +17,7 @@
             Some(Body::Announce(_)) => "announce",
             Some(Body::Expire(_)) => "expire",
             Some(Body::Join(_)) => "join",
-            Some(Body::Part(_)) => "part",
+            Some(Body::Leave(_)) => "part",
             Some(Body::Assign(_)) => "assign",
             Some(Body::Intend(_)) => "intend",
             Some(Body::Choose(_)) => "choose",
@@ -47,7 +47,7 @@
                 write!(f, "{}/{}{left}", server.server, server.incarnation)
             }
             Some(Body::Join(entry)) => write!(f, "{}/{}", entry.entry, entry.incarnation),
-            Some(Body::Part(entry)) => {
+            Some(Body::Leave(entry)) => {
                 let over = if entry.over { " over" } else { "" };
                 write!(f, "{}/{}{over}", entry.entry, entry.incarnation)
             }
--- a/components/member/src/follow.rs
+++ b/components/member/src/follow.rs
@@ -5,11 +5,11 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::Message as _;
 use wire::control::{
-    Beat, Down, Entries, Follow, Image, Members, Refuse, Seal, Sight, Symptom, down,
+    Beat, Condition, Down, Entries, Follow, Image, Members, Refuse, Seal, Symptom, down,
 };
 use wire::log::command::Body;
-use wire::log::{Command, Join, Part};
-use wire::quorum::{Pulse, Sealed, Seen};
+use wire::log::{Command, Join, Leave};
+use wire::quorum::{Heartbeat, Observed, Sealed};
 
 use crate::answer::Read;
 use crate::core::Core;
@@ -41,7 +41,7 @@
     /// Its newest seal of each group.
     seals: Vec<Seal>,
     /// Pulses with leases given up that were not confirmed.
-    returned: Vec<Pulse>,
+    returned: Vec<Heartbeat>,
 }
 
 impl Core {
@@ -181,7 +181,7 @@
     pub(crate) fn beat(&mut self, key: Key<Follower>, beat: Beat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         let returned = std::mem::take(&mut follower.returned);
-        let pulse = Pulse {
+        let heartbeat = Heartbeat {
             join: Some(follower.join.clone()),
             applied: beat.applied,
             returned: beat.returned,
@@ -189,20 +189,20 @@
             seals: follower.seals.clone(),
         };
         self.seen.insert(follower.join.entry.clone(), beat.applied);
-        for pulse in returned {
-            let note = pulse.encode_to_vec().into();
-            self.read(Read::Returned { key, pulse }, Some(note));
+        for heartbeat in returned {
+            let note = heartbeat.encode_to_vec().into();
+            self.read(Read::Returned { key, heartbeat }, Some(note));
         }
-        let note = pulse.encode_to_vec().into();
-        self.read(Read::Beat { key, sequence: beat.sequence, pulse }, Some(note));
+        let note = heartbeat.encode_to_vec().into();
+        self.read(Read::Beat { key, sequence: beat.sequence, heartbeat }, Some(note));
     }
 
     /// Keeps leases given up for the next beat. They go with the index that
     /// the entry had applied then.
-    pub(crate) fn keep_returned(&mut self, key: Key<Follower>, pulse: Pulse) {
+    pub(crate) fn keep_returned(&mut self, key: Key<Follower>, heartbeat: Heartbeat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
-        if !pulse.returned.is_empty() && follower.returned.len() < KEPT {
-            follower.returned.push(Pulse { symptoms: Vec::new(), ..pulse });
+        if !heartbeat.returned.is_empty() && follower.returned.len() < KEPT {
+            follower.returned.push(Heartbeat { symptoms: Vec::new(), ..heartbeat });
         }
     }
 
@@ -210,11 +210,11 @@
     pub(crate) fn symptom(&mut self, key: Key<Follower>, symptom: Symptom) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         follower.symptoms.retain(|known| known.group != symptom.group);
-        if symptom.sight() != Sight::Healthy {
+        if symptom.condition() != Condition::Healthy {
             follower.symptoms.push(symptom.clone());
         }
         let entry = follower.join.entry.clone();
-        self.forward.sights.push(Seen { entry, symptom: Some(symptom) });
+        self.forward.symptoms.push(Observed { entry, symptom: Some(symptom) });
     }
 
     /// A keeper's seal goes to the leader at once, and with each beat.
@@ -231,7 +231,7 @@
     pub(crate) fn left(&mut self, key: Key<Follower>) {
         let Some(follower) = self.followers.get(key) else { return };
         let (entry, incarnation) = (follower.join.entry.clone(), follower.join.incarnation);
-        self.forward.leaves.push(Part { entry, incarnation, over: true });
+        self.forward.leaves.push(Leave { entry, incarnation, over: true });
     }
 
     /// Sends entries elsewhere when this member has lost its leader.
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-use backend::Outside;
+use backend::Adapter;
 use base::clock::Clock;
 use base::prelude::*;
 use quorum::Replica;
@@ -56,7 +56,7 @@
     /// Whether it publishes how far it is.
     pub beacons: bool,
     /// The way to servers that acknowledge by themselves, where groups have such.
-    pub outside: Option<Arc<dyn Outside>>,
+    pub outside: Option<Arc<dyn Adapter>>,
 }
 
 /// How a member without a log comes to a membership.
--- a/components/member/src/lead.rs
+++ b/components/member/src/lead.rs
@@ -6,9 +6,9 @@
 use tokio::sync::oneshot;
 use wire::Message as _;
 use wire::control::Seal;
-use wire::log::{Announce, Join, Part};
+use wire::log::{Announce, Join, Leave};
 use wire::quorum::message::Body;
-use wire::quorum::{Forward, Message, Pulse, Sealed, Seen};
+use wire::quorum::{Forward, Heartbeat, Message, Observed, Sealed};
 
 use crate::answer::{Designation, Read};
 use crate::core::Core;
@@ -98,12 +98,12 @@
         for announce in forward.announces {
             self.lead(Event::Announced(announce));
         }
-        for Part { entry, incarnation, .. } in forward.leaves {
+        for Leave { entry, incarnation, .. } in forward.leaves {
             if let Ok(entry) = Name::new(&entry) {
                 self.lead(Event::Left { entry, incarnation });
             }
         }
-        for Seen { entry, symptom } in forward.sights {
+        for Observed { entry, symptom } in forward.symptoms {
             self.see(&entry, symptom);
         }
         for Sealed { entry, incarnation, seal } in forward.seals {
@@ -116,8 +116,8 @@
 
     /// A beat that came to any member, before it is confirmed.
     pub(crate) fn note(&mut self, note: &[u8]) {
-        let Ok(Pulse { join: Some(join), applied, returned, symptoms, seals }) =
-            Pulse::decode(note)
+        let Ok(Heartbeat { join: Some(join), applied, returned, symptoms, seals }) =
+            Heartbeat::decode(note)
         else {
             return;
         };
--- a/components/member/src/link.rs
+++ b/components/member/src/link.rs
@@ -91,9 +91,9 @@
     end: &End,
     core: &Sender,
 ) -> Result<(), Report<Failure>> {
-    let hello: Hello = reader.next().await?.ok_or(Failure::Cut)?;
+    let hello: Hello = reader.next().await?.ok_or(Failure::UnexpectedEof)?;
     writer.send(&end.hello()).await?;
-    let Some(member) = hello.member else { return Err(Report::new(Failure::Garbled)) };
+    let Some(member) = hello.member else { return Err(Report::new(Failure::Malformed)) };
     let id = member.id;
     drop(core.send(Input::Greeted { member, asks: hello.asks }).await);
     let mut confirmed = Instant::now();
@@ -109,7 +109,7 @@
         };
         let Some(message) = message else { return Ok(()) };
         if message.from != id {
-            return Err(Report::new(Failure::Garbled));
+            return Err(Report::new(Failure::Malformed));
         }
         if end.is_cut() {
             continue;
--- a/components/member/src/peers.rs
+++ b/components/member/src/peers.rs
@@ -119,7 +119,7 @@
     let (_, mut reader, mut writer) = ::link::dial(address, &peer, &end.key).await?;
     let greeted = async {
         writer.send(&end.hello()).await?;
-        reader.next::<Hello>().await?.ok_or_else(|| Report::new(Failure::Cut))
+        reader.next::<Hello>().await?.ok_or_else(|| Report::new(Failure::UnexpectedEof))
     };
     let hello = tokio::time::timeout(::link::peer::HANDSHAKE_TIMEOUT, greeted).await;
     let hello = hello.change_context(Failure::Timeout)??;
@@ -145,7 +145,7 @@
 ) -> Result<(), Report<Failure>> {
     let (hello, mut reader, mut writer) = greet(address, end).await?;
     if hello.member.as_ref().is_none_or(|member| member.id != id) {
-        return Err(Report::new(Failure::Unproved));
+        return Err(Report::new(Failure::Unauthenticated));
     }
     let mut burst = Vec::with_capacity(BURST);
     // since when messages were sent without a word that they come
@@ -154,7 +154,7 @@
         let silent = waits.filter(|_| hello.confirms).map(|since| since + SILENCE);
         tokio::select! {
             word = reader.next::<Hello>() => {
-                word?.ok_or(Failure::Cut)?;
+                word?.ok_or(Failure::UnexpectedEof)?;
                 waits = None;
                 continue;
             }
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use backend::Probe as _;
-use backend::{Outside, Promotion, sql};
+use backend::{Adapter, Promotion, sql};
 use base::prelude::*;
 use control::leader::STATUS_WAIT;
 use control::{Ask, Event, ProbeError};
@@ -44,7 +44,7 @@
     scope: Scope,
     /// This member's name, as the holder of promotions.
     own: Name,
-    outside: Option<Arc<dyn Outside>>,
+    outside: Option<Arc<dyn Adapter>>,
     lines: HashMap<Line, mpsc::Sender<Question>>,
 }
 
@@ -53,7 +53,7 @@
         core: Sender,
         scope: Scope,
         own: Name,
-        outside: Option<Arc<dyn Outside>>,
+        outside: Option<Arc<dyn Adapter>>,
     ) -> Self {
         Self { core, scope, own, outside, lines: HashMap::new() }
     }
@@ -108,12 +108,12 @@
 struct Target {
     group: Name,
     own: Name,
-    outside: Arc<dyn Outside>,
+    outside: Arc<dyn Adapter>,
 }
 
 async fn run_outside(line: Line, target: Target, mut due: mpsc::Receiver<Question>, core: Sender) {
     let Target { group, own, outside } = target;
-    let mut open = outside.line(&group, &line.server, line.address);
+    let mut open = outside.connection(&group, &line.server, line.address);
     while let Ok(Some(question)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
         let status = match question.ask {
             Ask::Designate { token } => {
--- a/components/quorum/src/follower.rs
+++ b/components/quorum/src/follower.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use wire::quorum::message::Body;
-use wire::quorum::{Append, Appended, Members, Piece, Pieced};
+use wire::quorum::{Append, Appended, Install, Installed, Members};
 
 use crate::event::Effect;
 use crate::log::Snapshot;
@@ -69,35 +69,35 @@
         index.max(self.commit)
     }
 
-    pub(crate) fn on_piece(&mut self, from: u64, piece: Piece) {
-        let index = piece.index;
+    pub(crate) fn on_install(&mut self, from: u64, install: Install) {
+        let index = install.index;
         if index <= self.commit {
-            self.send_durable(from, Body::Pieced(Pieced { index, offset: 0, done: true }));
+            self.send_durable(from, Body::Installed(Installed { index, offset: 0, done: true }));
             return;
         }
-        let offset = self.append_piece(&piece);
-        if offset < piece.length {
-            self.send(from, Body::Pieced(Pieced { index, offset, done: false }));
+        let offset = self.append_piece(&install);
+        if offset < install.length {
+            self.send(from, Body::Installed(Installed { index, offset, done: false }));
             return;
         }
         let data = self.incoming.take().map_or_else(Bytes::new, |incoming| incoming.bytes.freeze());
-        let members = piece.members.unwrap_or_default();
-        self.restore(index, piece.term, members, data);
-        self.send_durable(from, Body::Pieced(Pieced { index, offset, done: true }));
+        let members = install.members.unwrap_or_default();
+        self.restore(index, install.term, members, data);
+        self.send_durable(from, Body::Installed(Installed { index, offset, done: true }));
     }
 
     /// Appends a piece if it is the next one, and returns the offset of the next piece.
-    fn append_piece(&mut self, piece: &Piece) -> u64 {
+    fn append_piece(&mut self, install: &Install) -> u64 {
         let term = self.hard.term;
         let current = self.incoming.as_ref();
         let same =
-            current.is_some_and(|current| current.term == term && current.index == piece.index);
+            current.is_some_and(|current| current.term == term && current.index == install.index);
         if !same {
-            self.incoming = Some(Incoming { term, index: piece.index, bytes: BytesMut::new() });
+            self.incoming = Some(Incoming { term, index: install.index, bytes: BytesMut::new() });
         }
         let Some(incoming) = &mut self.incoming else { return 0 };
-        if incoming.bytes.len() as u64 == piece.offset {
-            incoming.bytes.extend_from_slice(&piece.bytes);
+        if incoming.bytes.len() as u64 == install.offset {
+            incoming.bytes.extend_from_slice(&install.bytes);
         }
         incoming.bytes.len() as u64
     }
--- a/components/quorum/src/leader.rs
+++ b/components/quorum/src/leader.rs
@@ -9,7 +9,9 @@
 use base::prelude::*;
 use bytes::Bytes;
 use wire::quorum::message::Body;
-use wire::quorum::{Append, Appended, Campaign, Entry, Piece, Pieced, Propose, entry, propose};
+use wire::quorum::{
+    Append, Appended, Campaign, Entry, Install, Installed, Propose, entry, propose,
+};
 
 use crate::dedup::Tokens;
 use crate::event::{Effect, Flaw};
@@ -221,7 +223,7 @@
         let length = snapshot.data.len() as u64;
         let start = offset.min(length) as usize;
         let end = (start + self.settings.piece_bytes).min(snapshot.data.len());
-        let piece = Piece {
+        let install = Install {
             index: snapshot.index,
             term: snapshot.term,
             members: Some(snapshot.members.clone()),
@@ -229,7 +231,7 @@
             length,
             bytes: snapshot.data.slice(start..end),
         };
-        self.send(to, Body::Piece(piece));
+        self.send(to, Body::Install(install));
         self.send(to, Body::Append(matched));
     }
 
@@ -255,24 +257,24 @@
         self.advance_transfer();
     }
 
-    pub(crate) fn on_pieced(&mut self, now: Instant, from: u64, pieced: Pieced) {
+    pub(crate) fn on_installed(&mut self, now: Instant, from: u64, installed: Installed) {
         let Some(lead) = self.leading() else { return };
         let Some(peer) = lead.peers.get_mut(&from) else { return };
         peer.heard_at = Some(now);
         let Some((index, offset)) = &mut peer.snapshot else { return };
-        if *index != pieced.index {
+        if *index != installed.index {
             return;
         }
-        if pieced.done {
-            peer.matched = peer.matched.max(pieced.index);
+        if installed.done {
+            peer.matched = peer.matched.max(installed.index);
             peer.next = peer.next.max(peer.matched + 1);
             peer.snapshot = None;
             self.replicate(from, true);
             self.advance_commit(now);
             return;
         }
-        if *offset != pieced.offset {
-            *offset = pieced.offset;
+        if *offset != installed.offset {
+            *offset = installed.offset;
             self.send_piece(from);
         }
     }
--- a/components/quorum/src/replica.rs
+++ b/components/quorum/src/replica.rs
@@ -225,7 +225,7 @@
             Body::Vote(vote) if !vote.transfer && self.has_active_leader(now) => return,
             _ => {}
         }
-        let from_leader = matches!(body, Body::Append(_) | Body::Piece(_));
+        let from_leader = matches!(body, Body::Append(_) | Body::Install(_));
         if term > self.hard.term {
             self.step_down(now, term, None);
         }
@@ -243,8 +243,8 @@
             Body::Voted(voted) => self.on_voted(now, from, voted),
             Body::Append(append) => self.on_append(from, append),
             Body::Appended(appended) => self.on_appended(now, from, appended),
-            Body::Piece(piece) => self.on_piece(from, piece),
-            Body::Pieced(pieced) => self.on_pieced(now, from, pieced),
+            Body::Install(install) => self.on_install(from, install),
+            Body::Installed(installed) => self.on_installed(now, from, installed),
             Body::Campaign(_) => self.campaign(now, true),
             Body::Read(read) => self.on_read(now, from, read),
             Body::Confirmed(confirmed) => self.on_confirmed(now, confirmed),
--- a/components/standin/tests/log.rs
+++ b/components/standin/tests/log.rs
@@ -173,7 +173,10 @@
             for (index, entry) in log.entries().iter().enumerate() {
                 let mark = Mark { term: entry.term, position: Position(index as u64 + 1) };
                 let trimmed = history.starts().first().is_some_and(|start| start.term > mark.term);
-                assert!(trimmed || history.fate(mark) == base::mark::Fate::Survived, "{mark}");
+                assert!(
+                    trimmed || history.inclusion(mark) == base::mark::Inclusion::Included,
+                    "{mark}"
+                );
             }
         }
         self.check_alike();
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -70,7 +70,7 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
-pub enum Sight {
+pub enum Condition {
     /// It answers and its replicas keep up.
     Healthy = 0,
     /// It refuses connections: the process is gone.
@@ -94,8 +94,8 @@
     #[prost(uint64, tag = "3")]
     pub term: u64,
     /// What is seen.
-    #[prost(enumeration = "Sight", tag = "4")]
-    pub sight: i32,
+    #[prost(enumeration = "Condition", tag = "4")]
+    pub condition: i32,
 }
 
 /// A keeper that has ended its work for the primaries before a term. It passes
--- a/components/wire/src/data.rs
+++ b/components/wire/src/data.rs
@@ -35,7 +35,7 @@
         Leave(super::Leave),
         /// The front is stopping and asks for nothing more.
         #[prost(message, tag = "5")]
-        Farewell(super::Farewell),
+        Shutdown(super::Shutdown),
         /// Asks whether the keeper lives.
         #[prost(message, tag = "6")]
         Ping(super::Ping),
@@ -78,7 +78,7 @@
     pub class: i32,
     /// Whether the session holds an open transaction at this keeper.
     #[prost(bool, tag = "6")]
-    pub within: bool,
+    pub in_transaction: bool,
     /// What the session has written or seen; reads must show it.
     #[prost(message, optional, tag = "7")]
     pub floor: Option<Mark>,
@@ -142,7 +142,7 @@
 /// Ends a front's use of the link, but for open transactions. It answers a
 /// [`Closing`] too: nothing new follows it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
-pub struct Farewell {}
+pub struct Shutdown {}
 
 /// What a keeper sends.
 #[derive(Clone, PartialEq, prost::Message)]
--- a/components/wire/src/log.rs
+++ b/components/wire/src/log.rs
@@ -34,7 +34,7 @@
         Join(super::Join),
         /// An entry left, or its lease ran out.
         #[prost(message, tag = "5")]
-        Part(super::Part),
+        Leave(super::Leave),
         /// Shares of a group's connections are granted or taken back.
         #[prost(message, tag = "6")]
         Assign(super::Assign),
@@ -189,7 +189,7 @@
 
 /// An entry that is gone.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Part {
+pub struct Leave {
     /// The entry's name.
     #[prost(string, tag = "1")]
     pub entry: String,
--- a/components/wire/src/pack.rs
+++ b/components/wire/src/pack.rs
@@ -18,15 +18,15 @@
 
 /// Bytes that are no deflated text, or one that is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Garbled;
+pub struct Malformed;
 
-impl fmt::Display for Garbled {
+impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the bytes are no deflated text")
     }
 }
 
-impl std::error::Error for Garbled {}
+impl std::error::Error for Malformed {}
 
 /// Deflates a text.
 pub fn pack(text: &[u8]) -> Bytes {
@@ -38,16 +38,16 @@
 /// Inflates it again. Nothing gives nothing.
 ///
 /// # Errors
-/// [`Garbled`].
-pub fn unpack(packed: &[u8]) -> Result<Vec<u8>, Report<Garbled>> {
+/// [`Malformed`].
+pub fn unpack(packed: &[u8]) -> Result<Vec<u8>, Report<Malformed>> {
     let mut text = Vec::new();
     if packed.is_empty() {
         return Ok(text);
     }
     let read = ZlibDecoder::new(packed).take(MAX_BYTES + 1).read_to_end(&mut text);
-    read.change_context(Garbled)?;
+    read.change_context(Malformed)?;
     if text.len() as u64 > MAX_BYTES {
-        return Err(Report::new(Garbled));
+        return Err(Report::new(Malformed));
     }
     Ok(text)
 }
@@ -55,7 +55,7 @@
 /// Inflates what is UTF-8.
 ///
 /// # Errors
-/// [`Garbled`].
-pub fn unpack_text(packed: &[u8]) -> Result<String, Report<Garbled>> {
-    String::from_utf8(unpack(packed)?).change_context(Garbled)
+/// [`Malformed`].
+pub fn unpack_text(packed: &[u8]) -> Result<String, Report<Malformed>> {
+    String::from_utf8(unpack(packed)?).change_context(Malformed)
 }
--- a/components/wire/src/quorum.rs
+++ b/components/wire/src/quorum.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 
 use crate::control::{Seal, Symptom};
-use crate::log::{Announce, Join, Part};
+use crate::log::{Announce, Join, Leave};
 
 /// The first message of each end of a link.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
@@ -133,10 +133,10 @@
         Appended(super::Appended),
         /// A piece of a snapshot.
         #[prost(message, tag = "10")]
-        Piece(super::Piece),
+        Install(super::Install),
         /// Answers that.
         #[prost(message, tag = "11")]
-        Pieced(super::Pieced),
+        Installed(super::Installed),
         /// The receiver is to campaign at once.
         #[prost(message, tag = "12")]
         Campaign(super::Campaign),
@@ -216,7 +216,7 @@
 
 /// A piece of a snapshot.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Piece {
+pub struct Install {
     /// Index of the last entry in the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -237,9 +237,9 @@
     pub bytes: Bytes,
 }
 
-/// An answer to [`Piece`].
+/// An answer to [`Install`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
-pub struct Pieced {
+pub struct Installed {
     /// Index of the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -348,10 +348,10 @@
     pub announces: Vec<Announce>,
     /// Entries that left.
     #[prost(message, repeated, tag = "2")]
-    pub leaves: Vec<Part>,
+    pub leaves: Vec<Leave>,
     /// What keepers see.
     #[prost(message, repeated, tag = "3")]
-    pub sights: Vec<Seen>,
+    pub symptoms: Vec<Observed>,
     /// Keepers that ended their work for an earlier primary.
     #[prost(message, repeated, tag = "4")]
     pub seals: Vec<Sealed>,
@@ -376,7 +376,7 @@
 
 /// A symptom and who saw it.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Seen {
+pub struct Observed {
     /// The entry.
     #[prost(string, tag = "1")]
     pub entry: String,
@@ -387,7 +387,7 @@
 
 /// A beat of an entry, as the leader must hear of it before it is confirmed.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Pulse {
+pub struct Heartbeat {
     /// The entry.
     #[prost(message, optional, tag = "1")]
     pub join: Option<Join>,
