--- a/components/backend/src/lib.rs
+++ b/components/backend/src/lib.rs
@@ -1,11 +1,11 @@
-//! The edge towards the backend servers of a database group.
+//! Access to the backend servers of a database group.
 //!
-//! Statements reach a server over the PostgreSQL protocol. What the system
-//! needs beyond that (term, role, positions, fencing, promotion) stands behind
-//! one trait, [`Probe`], so that a group of another make needs one more
-//! implementation and nothing else. [`sql::Probe`] asks by SQL functions.
-//! Groups whose servers acknowledge by themselves stand behind [`Adapter`].
-//! `docs/GROUPS.md` says what each must promise.
+//! Statements reach a server over the PostgreSQL protocol. All other operations
+//! (term, role, positions, fencing, promotion) go through one trait, [`Probe`], so
+//! that another kind of server needs only another implementation of the trait.
+//! [`sql::Probe`] implements it with SQL functions. Unfenced groups, whose servers
+//! acknowledge commits by themselves, are accessed through [`Adapter`].
+//! `docs/GROUPS.md` specifies the guarantees that implementations must give.
 
 pub mod probe;
 pub mod sql;
--- a/components/backend/src/probe.rs
+++ b/components/backend/src/probe.rs
@@ -1,54 +1,57 @@
-//! What the system asks of a backend server beyond statements.
+//! Operations on a backend server other than statements.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use base::prelude::*;
 
-/// Why a server did not answer.
+/// Failure of a request to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// Nothing listens at its address: the process is gone.
+    /// Nothing listens at the server's address: the process is gone.
     Refused,
-    /// No answer in time.
+    /// The server did not answer in time.
     Timeout,
-    /// The connection broke.
+    /// The connection was lost.
     Broken,
     /// The server answered with an error.
     Rejected,
-    /// The answer could not be read.
+    /// The server's answer could not be parsed.
     Malformed,
 }
 
 impl std::error::Error for Failure {}
 
-/// One connection for questions about a server, apart from its statements.
+/// A connection to a server for status and control, separate from the connections
+/// for statements.
 ///
-/// Requests on one probe run in turn. A probe that failed is of no more use.
+/// Requests on one probe run one after another. A probe can't be used after a
+/// failure.
 pub trait Probe: fmt::Debug + Send {
-    /// Reports once its version differs from `after`, or when `wait` is over.
-    /// A `wait` of zero reports at once.
+    /// Returns the server's status once the version of the status differs from
+    /// `after`, or when `wait` has elapsed; at once when `wait` is zero.
     fn status(
         &mut self,
         after: u64,
         wait: Duration,
     ) -> impl Future<Output = Result<Status, Report<Failure>>> + Send;
 
-    /// Joins `term` without a primary: from when it answers, the server takes
-    /// no write and copies no record of a lower term. Repeatable; at a server
-    /// of a higher term it changes nothing, and the report tells so.
+    /// Fences the server at `term`, without a primary: once the server has answered,
+    /// it accepts no writes and replicates no records of a lower term. Idempotent; a
+    /// server in a higher term is unchanged, and the returned status shows that term.
     fn fence(&mut self, term: Term)
     -> impl Future<Output = Result<Status, Report<Failure>>> + Send;
 
-    /// Makes a server fenced at exactly `term` the primary of that term.
-    /// Repeatable; at any other term it changes nothing.
+    /// Promotes a server that is fenced at exactly `term` to the primary of that term.
+    /// Idempotent; a server in any other term is unchanged.
     fn promote(
         &mut self,
         term: Term,
     ) -> impl Future<Output = Result<Status, Report<Failure>>> + Send;
 
-    /// Copies from the primary of `term` at `primary`, cutting off what that
-    /// primary does not hold. At a server of a higher term it changes nothing.
+    /// Makes the server a replica of the primary of `term` at address `primary`;
+    /// records that this primary does not have are truncated. A server in a higher
+    /// term is unchanged.
     fn follow(
         &mut self,
         term: Term,
--- a/components/backend/src/sql.rs
+++ b/components/backend/src/sql.rs
@@ -1,7 +1,6 @@
-//! A [`Probe`](crate::Probe) that asks by SQL functions over the PostgreSQL
-//! protocol.
+//! A [`Probe`](crate::Probe) that calls SQL functions over the PostgreSQL protocol.
 //!
-//! Each function returns one row of [`COLUMNS`], as text.
+//! Each function returns one row with the columns [`COLUMNS`], as text.
 
 use std::net::SocketAddr;
 
@@ -24,13 +23,14 @@
     "version",
 ];
 
-/// User that probes log in as; servers keep connections free for it.
+/// User name of probes, for which servers reserve connections.
 pub const USER: &str = "trefoil_probe";
 
-/// Time beyond a request's own wait after which a server counts as silent.
+/// Time, in addition to the wait of a request, after which a server counts as
+/// silent.
 pub const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A probe over one connection.
+/// A probe over one PostgreSQL connection.
 pub struct Probe {
     client: Client,
     driver: tokio::task::JoinHandle<()>,
@@ -50,8 +50,8 @@
 }
 
 impl Probe {
-    /// Connects to a server. `timeout` bounds the connection and, beyond its
-    /// own wait, each request.
+    /// Connects to a server. `timeout` limits the time for connecting and, in addition
+    /// to the wait of the request, the time for each request.
     ///
     /// # Errors
     /// [`Failure::Refused`] when nothing listens, [`Failure::Timeout`], or
@@ -63,26 +63,26 @@
         let connected = tokio::time::timeout(timeout, config.connect(NoTls)).await;
         let (client, connection) = connected
             .change_context(Failure::Timeout)?
-            .map_err(|error| Report::new(reason(&error)).attach(error.to_string()))?;
+            .map_err(|error| Report::new(classify(&error)).attach(error.to_string()))?;
         let driver = tokio::spawn(async move { drop(connection.await) });
         Ok(Self { client, driver, timeout })
     }
 
-    async fn ask(&self, query: String, wait: Duration) -> Result<Status, Report<Failure>> {
-        let asked = self.client.simple_query(&query);
-        let rows = tokio::time::timeout(wait + self.timeout, asked)
+    async fn query(&self, query: String, wait: Duration) -> Result<Status, Report<Failure>> {
+        let answer = self.client.simple_query(&query);
+        let rows = tokio::time::timeout(wait + self.timeout, answer)
             .await
             .change_context(Failure::Timeout)?
-            .map_err(|error| Report::new(reason(&error)).attach(error.to_string()))?;
+            .map_err(|error| Report::new(classify(&error)).attach(error.to_string()))?;
         let row = rows.iter().find_map(|message| match message {
             SimpleQueryMessage::Row(row) => Some(row),
             _ => None,
         });
-        read(row.ok_or(Failure::Malformed)?)
+        parse_status(row.ok_or(Failure::Malformed)?)
     }
 }
 
-fn reason(error: &tokio_postgres::Error) -> Failure {
+fn classify(error: &tokio_postgres::Error) -> Failure {
     let source = std::error::Error::source(error);
     let io = source.and_then(|source| source.downcast_ref::<std::io::Error>());
     match io.map(std::io::Error::kind) {
@@ -92,27 +92,27 @@
     }
 }
 
-fn read(row: &SimpleQueryRow) -> Result<Status, Report<Failure>> {
+fn parse_status(row: &SimpleQueryRow) -> Result<Status, Report<Failure>> {
     let number = |column: &str| -> Result<u64, Report<Failure>> {
-        text(row, column)?.parse().change_context(Failure::Malformed)
+        column_text(row, column)?.parse().change_context(Failure::Malformed)
     };
     Ok(Status {
-        server: Name::new(text(row, "server")?).change_context(Failure::Malformed)?,
+        server: Name::new(column_text(row, "server")?).change_context(Failure::Malformed)?,
         incarnation: number("incarnation")?,
         term: Term(number("term")?),
         log_term: Term(number("log_term")?),
         received: Position(number("received")?),
         applied: Position(number("applied")?),
-        role: text(row, "role")?.parse().change_context(Failure::Malformed)?,
+        role: column_text(row, "role")?.parse().change_context(Failure::Malformed)?,
         silence: Duration::from_millis(number("silence_ms")?),
-        history: text(row, "history")?
+        history: column_text(row, "history")?
             .parse::<History>()
             .map_err(|report| report.change_context(Failure::Malformed))?,
         version: number("version")?,
     })
 }
 
-fn text<'a>(row: &'a SimpleQueryRow, column: &str) -> Result<&'a str, Report<Failure>> {
+fn column_text<'a>(row: &'a SimpleQueryRow, column: &str) -> Result<&'a str, Report<Failure>> {
     let value = row.try_get(column).change_context(Failure::Malformed)?;
     value.ok_or_else(|| Report::new(Failure::Malformed))
 }
@@ -120,19 +120,19 @@
 impl crate::Probe for Probe {
     async fn status(&mut self, after: u64, wait: Duration) -> Result<Status, Report<Failure>> {
         let query = format!("SELECT * FROM trefoil_status({after}, {})", wait.as_millis());
-        self.ask(query, wait).await
+        self.query(query, wait).await
     }
 
     async fn fence(&mut self, term: Term) -> Result<Status, Report<Failure>> {
-        self.ask(format!("SELECT * FROM trefoil_fence({})", term.0), Duration::ZERO).await
+        self.query(format!("SELECT * FROM trefoil_fence({})", term.0), Duration::ZERO).await
     }
 
     async fn promote(&mut self, term: Term) -> Result<Status, Report<Failure>> {
-        self.ask(format!("SELECT * FROM trefoil_promote({})", term.0), Duration::ZERO).await
+        self.query(format!("SELECT * FROM trefoil_promote({})", term.0), Duration::ZERO).await
     }
 
     async fn follow(&mut self, term: Term, primary: SocketAddr) -> Result<Status, Report<Failure>> {
         let query = format!("SELECT * FROM trefoil_follow({}, '{primary}')", term.0);
-        self.ask(query, Duration::ZERO).await
+        self.query(query, Duration::ZERO).await
     }
 }
--- a/components/backend/src/unfenced.rs
+++ b/components/backend/src/unfenced.rs
@@ -1,7 +1,7 @@
-//! Servers that acknowledge by themselves, and who promotes them.
+//! Access to the servers of unfenced groups.
 //!
-//! Such servers can't be fenced; they take orders from outside of the system.
-//! What they speak stands behind these traits.
+//! These servers acknowledge commits by themselves and can't be fenced; a service
+//! outside of the system promotes them. These traits hide the protocols of both.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 
 use crate::probe::Failure;
 
-/// The way to servers, and to whoever promotes them.
+/// Adapter to the servers of unfenced groups and to the service that promotes them.
 pub trait Adapter: Debug + Send + Sync {
-    /// A line to one server; it connects when it is first asked.
+    /// Returns a connection to one server, which is opened by the first request.
     fn connection(&self, group: &Name, server: &Name, address: SocketAddr) -> Box<dyn Connection>;
 
-    /// Has a server made the primary of its group. Repeatable.
+    /// Has a server promoted to the primary of its group. Idempotent.
     fn promote(&self, promotion: Promotion) -> BoxFuture<'_, Result<(), Report<Failure>>>;
 }
 
-/// A line to one server.
+/// A connection to one server.
 pub trait Connection: Debug + Send {
-    /// Asks where the server stands.
+    /// Requests the status of the server.
     fn status(&mut self) -> BoxFuture<'_, Result<Status, Report<Failure>>>;
 }
 
-/// An order that a server is to lead.
+/// An order to promote a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Promotion {
-    /// The group.
+    /// Name of the group.
     pub group: Name,
-    /// The server.
+    /// Name of the server to promote.
     pub server: Name,
-    /// Name of the member that orders it.
+    /// Name of the control member that gives the order.
     pub holder: Name,
-    /// Rises with each holder.
+    /// Fencing token, higher for each later holder.
     pub token: u64,
 }
--- a/components/base/src/arena.rs
+++ b/components/base/src/arena.rs
@@ -1,13 +1,13 @@
-//! Values in slots, reached by small keys that can be copied.
+//! A generational arena: values in reusable slots, addressed by small `Copy` keys.
 //!
-//! A slot is used again, and its key's generation tells an old key from a new
-//! one, so a late event can never reach the wrong value.
+//! Reusing a slot raises its generation, which invalidates all earlier keys, so
+//! a late event can never reach the wrong value.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
 use std::marker::PhantomData;
 
-/// A key of an [`Arena`].
+/// A key of an [`Arena`]: a slot index and the generation of the slot.
 pub struct Key<T> {
     index: u32,
     generation: u32,
@@ -15,12 +15,12 @@
 }
 
 impl<T> Key<T> {
-    /// The key as one number, for a message.
+    /// Encodes the key as one number, for a message.
     pub const fn to_bits(self) -> u64 {
         ((self.generation as u64) << 32) | self.index as u64
     }
 
-    /// The key from such a number.
+    /// Decodes a key from a number made by [`Key::to_bits`].
     pub const fn from_bits(bits: u64) -> Self {
         Self { index: bits as u32, generation: (bits >> 32) as u32, kind: PhantomData }
     }
@@ -72,7 +72,7 @@
     value: Option<T>,
 }
 
-/// Slots that hold values of one type.
+/// A collection of values of one type with stable keys.
 #[derive(Debug, Clone)]
 pub struct Arena<T> {
     slots: Vec<Slot<T>>,
@@ -86,12 +86,12 @@
 }
 
 impl<T> Arena<T> {
-    /// Makes an empty arena.
+    /// Creates an empty arena.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Puts a value in and returns its key.
+    /// Inserts a value and returns its key.
     pub fn insert(&mut self, value: T) -> Key<T> {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, value: None });
@@ -102,7 +102,7 @@
         Key { index, generation: slot.generation, kind: PhantomData }
     }
 
-    /// Takes a value out; `None` when the key is old.
+    /// Removes and returns a value; `None` when the key is stale.
     pub fn remove(&mut self, key: Key<T>) -> Option<T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
@@ -114,29 +114,29 @@
         Some(value)
     }
 
-    /// Looks a value up; `None` when the key is old.
+    /// Returns a value; `None` when the key is stale.
     pub fn get(&self, key: Key<T>) -> Option<&T> {
         let slot = self.slots.get(key.index as usize)?;
         if slot.generation == key.generation { slot.value.as_ref() } else { None }
     }
 
-    /// Looks a value up for change; `None` when the key is old.
+    /// Returns a mutable reference to a value; `None` when the key is stale.
     pub fn get_mut(&mut self, key: Key<T>) -> Option<&mut T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation == key.generation { slot.value.as_mut() } else { None }
     }
 
-    /// Number of values.
+    /// Returns the number of values.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Whether no value is held.
+    /// Whether the arena holds no values.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All keys and values, in slot order.
+    /// Iterates over all keys and values, in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (Key<T>, &T)> {
         self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let key = Key { index: index as u32, generation: slot.generation, kind: PhantomData };
@@ -144,7 +144,7 @@
         })
     }
 
-    /// All keys and values, for change, in slot order.
+    /// Iterates over all keys and mutable references to values, in slot order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (Key<T>, &mut T)> {
         self.slots.iter_mut().enumerate().filter_map(|(index, slot)| {
             let key = Key { index: index as u32, generation: slot.generation, kind: PhantomData };
--- a/components/base/src/clock.rs
+++ b/components/base/src/clock.rs
@@ -1,14 +1,14 @@
 //! Monotonic time as a plain value.
 //!
-//! Every function that decides takes the present time as an argument, so this
-//! type must be cheap to copy and easy to make in a test. Only the edge of a
-//! process owns a [`Clock`] and asks it.
+//! State machines take the current time as an argument, so an [`Instant`] must be
+//! cheap to copy and easy to construct in a test. Only the I/O layer of a process
+//! owns a [`Clock`] and reads it.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
-/// Microseconds since the process started.
+/// A point in time, in microseconds since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
@@ -16,22 +16,22 @@
     /// The start of the process.
     pub const ZERO: Self = Self(0);
 
-    /// Makes an instant from microseconds since the start.
+    /// Creates an instant from microseconds since the process started.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Makes an instant from milliseconds since the start.
+    /// Creates an instant from milliseconds since the process started.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the process started.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Time since `earlier`, zero when `earlier` lies ahead.
+    /// Returns the time since `earlier`; zero when `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -67,8 +67,8 @@
     }
 }
 
-/// The source of [`Instant`]s at the edge of a process. It counts the time in
-/// which the host was suspended, so that a lease runs out meanwhile.
+/// The source of [`Instant`]s in a process. The clock includes the time for which
+/// the host was suspended, so that leases expire during a suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
@@ -80,19 +80,19 @@
         Self { start: since_boot() }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         Instant::ZERO + since_boot().saturating_sub(self.start)
     }
 
-    /// The same moment as the runtime's timers know it, as far as the host is
-    /// not suspended before it.
+    /// Converts an instant to the clock of the runtime's timers. The result is too
+    /// late by the length of any suspension of the host before that instant.
     pub fn at(&self, instant: Instant) -> std::time::Instant {
         std::time::Instant::now() + instant.since(self.now())
     }
 }
 
-/// Time since the host started, with all suspension.
+/// Time since the host booted, including suspensions.
 fn since_boot() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
--- a/components/base/src/lib.rs
+++ b/components/base/src/lib.rs
@@ -1,7 +1,7 @@
-//! Types that every other crate shares: time, log positions, names, arenas
-//! and the common error.
+//! Types shared by all other crates: time, log positions, names, arenas and the
+//! status of a backend server.
 //!
-//! This is the lowest layer. It knows nothing of sockets, disks or threads.
+//! This crate is the lowest layer and uses no sockets, disks or threads.
 
 pub mod arena;
 pub mod clock;
--- a/components/base/src/mark.rs
+++ b/components/base/src/mark.rs
@@ -1,9 +1,9 @@
-//! Log positions, the terms they belong to, and how both compare.
+//! Log positions, the terms they belong to, and their comparison.
 //!
-//! A position alone says nothing: two primaries may have written different
-//! records at the same position. A [`Mark`] names the term too, and a
-//! [`History`] says where each term began, which settles whether a mark
-//! survived a failover.
+//! A position alone does not identify a record: two primaries may have written
+//! different records at the same position. A [`Mark`] adds the term, and a
+//! [`History`] records where each term began, which decides whether the record
+//! at a mark is still part of the log after a failover.
 
 use std::fmt;
 use std::str::FromStr;
@@ -19,14 +19,15 @@
 #[serde(transparent)]
 pub struct Term(pub u64);
 
-/// A log position; it grows with each record of one lineage.
+/// A log position; positions grow with each record of one log.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Position(pub u64);
 
-/// A position within a term. The order is by term, then by position.
+/// A log mark: the term and position of a record. Marks are ordered by term, then
+/// by position.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -38,7 +39,7 @@
 }
 
 impl Mark {
-    /// Makes a mark.
+    /// Creates a mark from a term and a position.
     pub const fn new(term: u64, position: u64) -> Self {
         Self { term: Term(term), position: Position(position) }
     }
@@ -50,10 +51,10 @@
     }
 }
 
-/// A text that is no mark or history.
+/// Parse error: a text is not a mark or a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed {
-    /// The text as it was found.
+    /// Rejected text.
     pub text: String,
 }
 
@@ -77,20 +78,22 @@
     }
 }
 
-/// What became of a mark of an earlier term.
+/// Whether a log includes the record at a mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inclusion {
-    /// The record is part of the lineage.
+    /// The record is part of the log.
     Included,
-    /// A later term began before it.
+    /// A later term began below the record, so a failover cut the record off.
     Truncated,
-    /// The history does not reach the mark's term.
+    /// The history does not cover the term of the mark.
     Unknown,
 }
 
-/// Where each term began, oldest first: the last position of the term before.
+/// The start of each term of a log, oldest first. A term starts at the last
+/// position of the term before it.
 ///
-/// Old terms may be trimmed, so an answer can be [`Inclusion::Unknown`].
+/// Old terms may be trimmed, so the inclusion of a mark can be
+/// [`Inclusion::Unknown`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct History {
@@ -98,12 +101,13 @@
 }
 
 impl History {
-    /// Terms kept; a session is far shorter than this many failovers.
+    /// Maximum number of terms kept; no session lasts for this many failovers.
     pub const MAX_TERMS: usize = 64;
 
-    /// Adds the start of a term: `position` is the last one of the lineage before it.
+    /// Adds the start of a term: `position` is the last position of the log before
+    /// that term.
     ///
-    /// A term that is not higher than the last known is ignored.
+    /// A term that is not higher than the newest known term is ignored.
     pub fn begin(&mut self, term: Term, position: Position) {
         if self.starts.last().is_some_and(|last| last.term >= term) {
             return;
@@ -114,31 +118,31 @@
         }
     }
 
-    /// Drops terms that begin after `position`, as a truncated log does.
+    /// Drops the terms that begin after `position`, when the log is truncated there.
     pub fn truncate(&mut self, position: Position) {
         self.starts.retain(|start| start.position <= position);
     }
 
-    /// Each term's start, oldest first.
+    /// Returns the start of each term, oldest first.
     pub fn starts(&self) -> &[Mark] {
         &self.starts
     }
 
-    /// The newest term.
+    /// Returns the newest term; `None` when the history is empty.
     pub fn last_term(&self) -> Option<Term> {
         self.starts.last().map(|start| start.term)
     }
 
-    /// Start of the first term after `term`, where the history has one.
+    /// Returns the start of the first term after `term`, if the history has one.
     pub fn start_after(&self, term: Term) -> Option<Mark> {
         self.starts.iter().copied().find(|start| start.term > term)
     }
 
-    /// Whether the record at `mark` is part of this lineage.
+    /// Decides whether the record at `mark` is part of this log.
     ///
-    /// A record of term T at p survived if and only if p is at or under the
-    /// start of the next term. Of the newest term, all belong. A term that the
-    /// lineage passed over left no record in it.
+    /// A record of term T at position p is included if and only if p is at or below
+    /// the start of the next term. All records of the newest term are included. A
+    /// term that is missing between two known terms has no records in the log.
     pub fn inclusion(&self, mark: Mark) -> Inclusion {
         let first = self.starts.first().map(|start| start.term);
         if first.is_none_or(|first| mark.term < first) || self.last_term() < Some(mark.term) {
--- a/components/base/src/name.rs
+++ b/components/base/src/name.rs
@@ -1,8 +1,8 @@
-//! Names as operators write them.
+//! Names chosen by operators.
 //!
-//! A [`Name`] is checked once and cheap to clone. Inside a process, tables map
-//! names to small keys; names are what crosses between processes, since two
-//! processes may hold different versions of the configuration.
+//! A [`Name`] is validated once and cheap to clone. Inside a process, tables map
+//! names to small keys. Messages between processes carry names rather than keys,
+//! since two processes may hold different versions of the configuration.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -12,7 +12,7 @@
 use error_stack::Report;
 use serde::{Deserialize, Serialize};
 
-/// Longest name in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_BYTES: usize = 128;
 
 /// A name of a service, group, server, entry, availability zone or label.
@@ -20,10 +20,10 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// A text that is no name.
+/// Validation error: a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invalid {
-    /// The text as it was found.
+    /// Rejected text.
     pub text: String,
 }
 
@@ -40,7 +40,7 @@
 impl std::error::Error for Invalid {}
 
 impl Name {
-    /// Checks and makes a name.
+    /// Validates a text and creates a name from it.
     pub fn new(text: &str) -> Result<Self, Report<Invalid>> {
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_./:".contains(&byte);
         let valid = !text.is_empty() && text.len() <= MAX_BYTES && text.bytes().all(allowed);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The name as text.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/components/base/src/prelude.rs
+++ b/components/base/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that nearly every module needs.
+//! Types that nearly every module imports.
 
 pub use std::time::Duration;
 
--- a/components/base/src/status.rs
+++ b/components/base/src/status.rs
@@ -1,4 +1,4 @@
-//! What a backend server says of itself.
+//! The status that a backend server reports.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::mark::{History, Mark, Position, Term};
 use crate::name::Name;
 
-/// The part that a backend server plays in its group.
+/// Replication role of a backend server in its group.
 #[derive(
     Clone,
     Copy,
@@ -23,58 +23,60 @@
 #[serde(rename_all = "lowercase")]
 #[strum(serialize_all = "lowercase")]
 pub enum Role {
-    /// Accepts writes.
+    /// Server that accepts writes.
     Primary,
-    /// Copies a primary.
+    /// Server that replicates from a primary.
     Replica,
 }
 
-/// One report of a backend server.
+/// A status report of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The server's name.
+    /// Name of the server.
     pub server: Name,
-    /// Raised by each start of the server.
+    /// Incarnation of the server, raised by each start of it.
     pub incarnation: u64,
-    /// Highest term the server has joined or was fenced at.
+    /// Highest term that the server has joined or was fenced at.
     pub term: Term,
-    /// Term of the last record in its log.
+    /// Term of the last record in the server's log.
     pub log_term: Term,
-    /// Last position kept durably.
+    /// Last position that the server has stored durably.
     pub received: Position,
-    /// Last position that reads see.
+    /// Last position that is visible to reads on the server.
     pub applied: Position,
-    /// Part it plays at present.
+    /// Current replication role.
     pub role: Role,
-    /// Time since the primary was last heard of; zero on a primary.
+    /// Time since the server last heard from its primary; zero on a primary.
     pub silence: Duration,
-    /// Where the terms of its log began.
+    /// Start of each term of the server's log.
     pub history: History,
-    /// Raised by each change of the report, within one incarnation.
+    /// Version of the report, raised by each change of it within an incarnation.
     pub version: u64,
 }
 
 impl Status {
-    /// Last record kept durably.
+    /// Returns the mark of the last record that the server has stored durably.
     pub fn last(&self) -> Mark {
         Mark { term: self.log_term, position: self.received }
     }
 
-    /// Last record that reads see.
+    /// Returns the mark of the last record that is visible to reads.
     pub fn applied_mark(&self) -> Mark {
         Mark { term: self.log_term, position: self.applied }
     }
 
-    /// Whether the server keeps the record at `mark` durably, in the very term
-    /// it was written in. A server fenced at a higher term counts no more.
+    /// Whether the server has stored the record at `mark` durably and is still in
+    /// the term of that mark. A server fenced at a higher term no longer counts
+    /// towards the acknowledgement of the record.
     pub fn holds(&self, mark: Mark) -> bool {
         self.term == mark.term && self.log_term == mark.term && self.received >= mark.position
     }
 
-    /// Whether reads on this server see all that was acknowledged up to `mark`.
+    /// Whether reads on this server see everything acknowledged up to `mark`.
     ///
-    /// A server at a later term holds everything acknowledged in earlier ones,
-    /// so what a later term cut off was never acknowledged and need not show.
+    /// The log of a later term includes everything acknowledged in earlier terms,
+    /// so records that a later term cut off were never acknowledged and need not
+    /// be visible.
     pub fn shows(&self, mark: Mark) -> bool {
         if self.log_term < mark.term {
             return false;
--- a/components/base/tests/mark.rs
+++ b/components/base/tests/mark.rs
@@ -1,4 +1,4 @@
-//! Marks, histories and what a status proves.
+//! Tests of marks, histories, statuses and arena keys.
 
 use base::mark::Inclusion;
 use base::prelude::*;
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn can_settle_a_mark_by_the_next_term() {
-    let lineage = history("1:0,3:10");
-    assert_eq!(lineage.inclusion(Mark::new(1, 10)), Inclusion::Included);
-    assert_eq!(lineage.inclusion(Mark::new(1, 11)), Inclusion::Truncated);
-    assert_eq!(lineage.inclusion(Mark::new(2, 4)), Inclusion::Truncated);
-    assert_eq!(lineage.inclusion(Mark::new(3, 90)), Inclusion::Included);
-    assert_eq!(lineage.inclusion(Mark::new(4, 1)), Inclusion::Unknown);
+fn decides_inclusion_by_the_start_of_the_next_term() {
+    let log = history("1:0,3:10");
+    assert_eq!(log.inclusion(Mark::new(1, 10)), Inclusion::Included);
+    assert_eq!(log.inclusion(Mark::new(1, 11)), Inclusion::Truncated);
+    assert_eq!(log.inclusion(Mark::new(2, 4)), Inclusion::Truncated);
+    assert_eq!(log.inclusion(Mark::new(3, 90)), Inclusion::Included);
+    assert_eq!(log.inclusion(Mark::new(4, 1)), Inclusion::Unknown);
 }
 
 #[test]
-fn knows_nothing_of_terms_before_the_history() {
+fn reports_terms_before_the_history_as_unknown() {
     assert_eq!(history("5:40").inclusion(Mark::new(4, 1)), Inclusion::Unknown);
 }
 
 #[test]
-fn counts_a_fenced_server_no_more() {
+fn rejects_an_acknowledgement_of_a_fenced_server() {
     assert!(status(3, 3, 20, 20, "1:0,3:10").holds(Mark::new(3, 20)));
     assert!(!status(4, 3, 20, 20, "1:0,3:10").holds(Mark::new(3, 20)));
     assert!(!status(3, 1, 20, 20, "1:0").holds(Mark::new(3, 20)));
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn forgets_terms_past_a_truncation() {
-    let mut lineage = history("1:0,3:10,4:12");
-    lineage.truncate(Position(11));
-    assert_eq!(lineage, history("1:0,3:10"));
+fn drops_terms_after_a_truncation() {
+    let mut log = history("1:0,3:10,4:12");
+    log.truncate(Position(11));
+    assert_eq!(log, history("1:0,3:10"));
 }
 
 #[test]
-fn never_finds_a_value_by_an_old_key() {
+fn never_finds_a_value_by_a_stale_key() {
     let mut arena = Arena::new();
     let first = arena.insert(1);
     assert_eq!(arena.remove(first), Some(1));
--- a/components/journal/src/disk.rs
+++ b/components/journal/src/disk.rs
@@ -1,4 +1,4 @@
-//! The edge to the disk: a folder of files whose changes last only once synced.
+//! Access to the disk: a folder of files whose changes are durable only once synced.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,30 +6,30 @@
 use std::io::{Error, ErrorKind, Result, Write};
 use std::path::{Path, PathBuf};
 
-/// Name of the file that keeps a second process out of a folder.
+/// Name of the lock file that prevents a second process from opening a folder.
 const LOCK: &str = "lock";
 
-/// One folder of files. Names are plain file names.
+/// A folder of files. Names are plain file names.
 pub trait Disk: fmt::Debug + Send {
-    /// Names of all files.
+    /// Lists the names of all files.
     fn list(&self) -> Result<Vec<String>>;
-    /// The whole content of a file.
+    /// Reads the whole content of a file.
     fn read(&self, name: &str) -> Result<Vec<u8>>;
-    /// Adds to the end of a file; makes it if need be.
+    /// Appends to a file, which is created if missing.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
-    /// Cuts a file to a length in bytes.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> Result<()>;
     /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> Result<()>;
-    /// Renames a file, in place of another if there is one.
+    /// Renames a file and replaces any file that has the new name.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> Result<()>;
-    /// Makes the names of files durable.
+    /// Makes creations, renames and removals of files durable.
     fn sync_folder(&mut self) -> Result<()>;
 }
 
-/// A folder of the file system, held by this process alone.
+/// A folder of the file system, locked by this process.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -38,15 +38,15 @@
 }
 
 impl Folder {
-    /// Opens a folder; makes it if need be.
+    /// Opens and locks a folder, which is created if missing.
     ///
     /// # Errors
-    /// [`ErrorKind::ResourceBusy`] when another process holds it, else the
-    /// file system's error.
+    /// [`ErrorKind::ResourceBusy`] when another process has locked the folder,
+    /// otherwise the error of the file system.
     pub fn open(path: &Path) -> Result<Self> {
-        let made = !path.exists();
+        let created = !path.exists();
         std::fs::create_dir_all(path)?;
-        if made && let Some(parent) = path.parent().filter(|parent| parent.is_dir()) {
+        if created && let Some(parent) = path.parent().filter(|parent| parent.is_dir()) {
             File::open(parent)?.sync_all()?;
         }
         let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK))?;
@@ -72,7 +72,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // closing the file would do; a failure changes nothing
+        // closing the file releases the lock too, so a failure can be ignored
         drop(self.lock.unlock());
     }
 }
--- a/components/journal/src/identity.rs
+++ b/components/journal/src/identity.rs
@@ -1,34 +1,35 @@
-//! The member's id, which lives and dies with the data folder.
+//! The id of a member, stored in its data folder.
 
 use error_stack::{Report, ResultExt};
 
 use crate::disk::Disk;
 use crate::store::{Failure, failed};
 
-const NAME: &str = "identity";
+const FILE_NAME: &str = "identity";
 
-/// The id kept in a folder; a folder without one takes `drawn`, durably.
+/// Returns the id stored in a folder. If the folder has none, stores `generated`
+/// durably and returns it.
 ///
 /// # Errors
-/// [`Failure::Disk`]; [`Failure::Corrupt`] when the file holds no id.
-pub fn identity<D: Disk>(disk: &mut D, drawn: u64) -> Result<u64, Report<Failure>> {
+/// [`Failure::Disk`]; [`Failure::Corrupt`] when the file does not contain an id.
+pub fn identity<D: Disk>(disk: &mut D, generated: u64) -> Result<u64, Report<Failure>> {
     let names = disk.list().change_context_lazy(|| failed("."))?;
-    if !names.iter().any(|name| name == NAME) {
-        put(disk, drawn).change_context_lazy(|| failed(NAME))?;
-        return Ok(drawn);
+    if !names.iter().any(|name| name == FILE_NAME) {
+        store(disk, generated).change_context_lazy(|| failed(FILE_NAME))?;
+        return Ok(generated);
     }
-    let bytes = disk.read(NAME).change_context_lazy(|| failed(NAME))?;
+    let bytes = disk.read(FILE_NAME).change_context_lazy(|| failed(FILE_NAME))?;
     let id = std::str::from_utf8(&bytes).ok().and_then(|text| text.trim().parse().ok());
-    id.ok_or_else(|| Report::new(Failure::Corrupt { file: NAME.to_owned(), offset: 0 }))
+    id.ok_or_else(|| Report::new(Failure::Corrupt { file: FILE_NAME.to_owned(), offset: 0 }))
 }
 
-fn put<D: Disk>(disk: &mut D, id: u64) -> std::io::Result<()> {
-    let temporary = format!("{NAME}.tmp");
+fn store<D: Disk>(disk: &mut D, id: u64) -> std::io::Result<()> {
+    let temporary = format!("{FILE_NAME}.tmp");
     if disk.list()?.contains(&temporary) {
         disk.remove(&temporary)?;
     }
     disk.append(&temporary, format!("{id}\n").as_bytes())?;
     disk.sync(&temporary)?;
-    disk.rename(&temporary, NAME)?;
+    disk.rename(&temporary, FILE_NAME)?;
     disk.sync_folder()
 }
--- a/components/journal/src/lib.rs
+++ b/components/journal/src/lib.rs
@@ -1,19 +1,19 @@
-//! A checksummed, append-only journal on disk: entries, a term and vote, and
-//! snapshots.
+//! A checksummed, append-only journal on disk, which stores the log entries, term,
+//! vote and snapshots of a member.
 //!
-//! Each [`Journal::write`] is one frame with one checksum and is synced before
-//! the call returns. The next frame is written only after that, so a bad frame
-//! with a good one after it is corruption, while a bad frame at the very end
-//! is a write that a crash cut off, and is dropped.
+//! Each [`Journal::write`] appends one frame with one checksum and syncs it before
+//! the call returns. The next frame is written only after that, so an invalid frame
+//! followed by a valid one is corruption, while an invalid frame at the end of the
+//! newest segment is a write interrupted by a crash, and is dropped.
 //!
 //! Files of a data folder:
-//! - `identity`: the member's id, drawn when the folder was made.
+//! - `identity`: the id of the member, generated when the folder was created.
 //! - `NNNNNNNNNNNNNNNNNNNN.log`: segments, by number.
-//! - `NNNNNNNNNNNNNNNNNNNN.snap`: snapshots, by the index they stand at; only
+//! - `NNNNNNNNNNNNNNNNNNNN.snap`: snapshots, by the index of their last entry; only
 //!   the newest is needed.
 //!
-//! After a failed write the journal refuses all further ones: what the disk
-//! holds then is known only by opening it again.
+//! After a failed write, the journal refuses all further writes: the state of the
+//! disk is unknown until the journal is opened again.
 
 pub mod disk;
 mod frame;
--- a/components/journal/src/open.rs
+++ b/components/journal/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening: what the disk holds, with a torn tail cut off.
+//! Opening and recovery of a journal, which truncates a torn tail.
 
 use std::collections::BTreeMap;
 
@@ -11,60 +11,66 @@
     snapshot_name,
 };
 
-/// What a journal held when it was opened.
+/// The content of a journal, as recovered when opening it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// Term and vote.
+    /// Latest term and vote.
     pub hard: Hard,
     /// Newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries after the snapshot, in order and without gaps.
+    /// Entries after the snapshot, in log order and without gaps.
     pub entries: Vec<Entry>,
-    /// Bytes of a torn tail that were cut off.
+    /// Length of the truncated torn tail, in bytes.
     pub cut_bytes: u64,
 }
 
-/// What the segments say, read from the oldest on.
+/// The content of the segments, read from the oldest to the newest.
 #[derive(Debug, Default)]
 struct Scan {
-    /// Entries of frames before this sequence are void.
+    /// Sequence before which the entries of all frames are void.
     void: u64,
+    /// Sequence of the last frame that was read.
     sequence: Option<u64>,
     hard: Hard,
+    /// Encoded content of each entry, by index.
     entries: BTreeMap<u64, Vec<u8>>,
+    /// Index of the last entry that was read.
     last: u64,
+    /// Number, length in bytes and index of the last entry of each segment.
     segments: Vec<(u64, u64, u64)>,
+    /// File name, offset and length in bytes of a torn tail.
     torn: Option<(String, u64, u64)>,
 }
 
-/// Reads a data folder without changing it.
+/// Reads the journal of a data folder without changing the folder.
 ///
 /// # Errors
 /// [`Failure::Disk`] and [`Failure::Corrupt`].
 pub fn inspect<D: Disk>(disk: &D) -> Result<Recovered, Report<Failure>> {
     let (void, snapshot) = newest_snapshot(disk)?;
     let scan = scan(disk, void)?;
-    recovered(&scan, snapshot)
+    recover(&scan, snapshot)
 }
 
 impl<D: Disk> Journal<D> {
-    /// Opens a data folder, cuts a torn tail, and tells what is there.
+    /// Opens the journal of a data folder, truncates a torn tail, and returns the
+    /// recovered content.
     ///
     /// # Errors
-    /// [`Failure::Disk`]; [`Failure::Corrupt`] when a snapshot or a frame that
-    /// others follow is not what was written.
+    /// [`Failure::Disk`]; [`Failure::Corrupt`] when a snapshot is corrupt, or a frame
+    /// that is followed by a valid one.
     pub fn open(mut disk: D) -> Result<(Self, Recovered), Report<Failure>> {
         let (void, snapshot) = newest_snapshot(&disk)?;
         let scan = scan(&disk, void)?;
-        let recovered = recovered(&scan, snapshot)?;
+        let recovered = recover(&scan, snapshot)?;
         if let Some((name, length, _)) = &scan.torn {
-            let mut cut = || {
+            let mut truncate = || {
                 disk.truncate(name, *length)?;
                 disk.sync(name)
             };
-            cut().change_context_lazy(|| failed(name))?;
+            truncate().change_context_lazy(|| failed(name))?;
         }
-        remove_needless(&mut disk, recovered.snapshot.as_ref())?;
+        remove_obsolete(&mut disk, recovered.snapshot.as_ref())?;
         let mut segments = scan.segments;
         let (segment, length, _) = segments.pop().unwrap_or((1, 0, 0));
         let closed = segments.into_iter();
@@ -85,7 +91,7 @@
     }
 }
 
-fn numbers<D: Disk>(disk: &D, suffix: &str) -> Result<Vec<u64>, Report<Failure>> {
+fn file_numbers<D: Disk>(disk: &D, suffix: &str) -> Result<Vec<u64>, Report<Failure>> {
     let names = disk.list().change_context_lazy(|| failed("."))?;
     let number = |name: &String| name.strip_suffix(suffix)?.parse().ok();
     let mut numbers: Vec<u64> = names.iter().filter_map(number).collect();
@@ -94,7 +100,7 @@
 }
 
 fn newest_snapshot<D: Disk>(disk: &D) -> Result<(u64, Option<Snapshot>), Report<Failure>> {
-    let Some(index) = numbers(disk, ".snap")?.pop() else { return Ok((0, None)) };
+    let Some(index) = file_numbers(disk, ".snap")?.pop() else { return Ok((0, None)) };
     let name = snapshot_name(index);
     let bytes = disk.read(&name).change_context_lazy(|| failed(&name))?;
     let corrupt = || Failure::Corrupt { file: name.clone(), offset: 0 };
@@ -103,17 +109,17 @@
 }
 
 fn scan<D: Disk>(disk: &D, void: u64) -> Result<Scan, Report<Failure>> {
-    let numbers = numbers(disk, ".log")?;
+    let numbers = file_numbers(disk, ".log")?;
     let mut scan = Scan { void, ..Scan::default() };
-    for (place, number) in numbers.iter().enumerate() {
-        let newest = place + 1 == numbers.len();
-        scan.segment(disk, *number, newest)?;
+    for (index, number) in numbers.iter().enumerate() {
+        let newest = index + 1 == numbers.len();
+        scan.read_segment(disk, *number, newest)?;
     }
     Ok(scan)
 }
 
 impl Scan {
-    fn segment<D: Disk>(
+    fn read_segment<D: Disk>(
         &mut self,
         disk: &D,
         number: u64,
@@ -123,8 +129,8 @@
         let bytes = disk.read(&name).change_context_lazy(|| failed(&name))?;
         let mut offset = 0;
         while offset < bytes.len() {
-            let due = |sequence| self.sequence.is_none_or(|last| sequence == last + 1);
-            let frame = frame::decode(&bytes, offset).filter(|frame| due(frame.sequence));
+            let is_next = |sequence| self.sequence.is_none_or(|last| sequence == last + 1);
+            let frame = frame::decode(&bytes, offset).filter(|frame| is_next(frame.sequence));
             let Some(frame) = frame else {
                 let last = self.sequence.unwrap_or(0);
                 if !newest || frame::any_after(&bytes, offset, last) {
@@ -137,13 +143,13 @@
             self.sequence = Some(frame.sequence);
             offset = frame.end;
             let void = frame.sequence < self.void;
-            frame.records.into_iter().for_each(|record| self.take(record, void));
+            frame.records.into_iter().for_each(|record| self.apply(record, void));
         }
         self.segments.push((number, offset as u64, self.last));
         Ok(())
     }
 
-    fn take(&mut self, record: Record, void: bool) {
+    fn apply(&mut self, record: Record, void: bool) {
         match record {
             Record::Hard(hard) => self.hard = hard,
             Record::Entry(_) if void => {}
@@ -160,12 +166,12 @@
     }
 }
 
-fn recovered(scan: &Scan, snapshot: Option<Snapshot>) -> Result<Recovered, Report<Failure>> {
+fn recover(scan: &Scan, snapshot: Option<Snapshot>) -> Result<Recovered, Report<Failure>> {
     let base = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
     let mut entries = Vec::new();
     for (index, bytes) in scan.entries.range(base + 1..) {
         if *index != base + 1 + entries.len() as u64 {
-            // frames were lost although later ones are whole
+            // frames are missing although later ones are valid
             let file = scan.segments.last().map_or(1, |(number, _, _)| *number);
             return Err(Report::new(Failure::Corrupt { file: segment_name(file), offset: 0 }));
         }
@@ -175,21 +181,21 @@
     Ok(Recovered { hard: scan.hard, snapshot, entries, cut_bytes })
 }
 
-/// Removes what a crash left half done.
-fn remove_needless<D: Disk>(
+/// Removes older snapshots and temporary files that a crash left behind.
+fn remove_obsolete<D: Disk>(
     disk: &mut D,
     snapshot: Option<&Snapshot>,
 ) -> Result<(), Report<Failure>> {
     let newest = snapshot.map(|snapshot| snapshot_name(snapshot.index));
     for name in disk.list().change_context_lazy(|| failed("."))? {
-        let old = has_ending(&name, "snap") && Some(&name) != newest.as_ref();
-        if old || has_ending(&name, "tmp") {
+        let old = has_extension(&name, "snap") && Some(&name) != newest.as_ref();
+        if old || has_extension(&name, "tmp") {
             disk.remove(&name).change_context_lazy(|| failed(&name))?;
         }
     }
     Ok(())
 }
 
-fn has_ending(name: &str, ending: &str) -> bool {
-    name.rsplit_once('.').is_some_and(|(_, found)| found == ending)
+fn has_extension(name: &str, extension: &str) -> bool {
+    name.rsplit_once('.').is_some_and(|(_, found)| found == extension)
 }
--- a/components/journal/src/store.rs
+++ b/components/journal/src/store.rs
@@ -1,5 +1,5 @@
-//! Writing: frames to the newest segment, snapshots beside them, and the
-//! removal of what a snapshot makes needless.
+//! Writing of frames to the newest segment and of snapshots, and removal of the
+//! segments and snapshots that a newer snapshot makes obsolete.
 
 use std::fmt;
 
@@ -8,22 +8,22 @@
 use crate::disk::Disk;
 use crate::frame::{self, Record};
 
-/// Length of a segment in bytes after which the next one begins.
+/// Default length of a segment, in bytes, after which the next segment begins.
 pub const SEGMENT_BYTES: u64 = 8 << 20;
 
-/// Why a journal can't be read or written.
+/// Failure to read or write a journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
     /// The disk failed or is full.
     Disk {
-        /// File that it happened on.
+        /// Name of the file.
         file: String,
     },
-    /// A file holds something other than what was written.
+    /// The content of a file differs from what was written.
     Corrupt {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Offset of the first bad byte.
+        /// Offset of the first corrupt byte.
         offset: u64,
     },
     /// An earlier write failed; the journal must be opened again.
@@ -33,62 +33,64 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Disk { file } => write!(f, "the disk failed at `{file}`"),
+            Self::Disk { file } => write!(f, "disk access failed on `{file}`"),
             Self::Corrupt { file, offset } => {
                 write!(f, "`{file}` is corrupt from byte {offset} on")
             }
-            Self::Stopped => f.write_str("an earlier write failed"),
+            Self::Stopped => f.write_str("an earlier write to the journal failed"),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// A term and the vote given in it.
+/// Hard state of a member: the current term and the vote in that term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Hard {
-    /// The term.
+    /// Current term.
     pub term: u64,
-    /// Id that has the vote; zero for none.
+    /// Id of the member that got the vote; zero for none.
     pub vote: u64,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its index.
+    /// Index of the entry.
     pub index: u64,
-    /// Its encoded content.
+    /// Encoded content of the entry.
     pub bytes: Vec<u8>,
 }
 
-/// A snapshot.
+/// A snapshot of the state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Index of the last entry in it.
+    /// Index of the last entry included in the snapshot.
     pub index: u64,
-    /// Its encoded content.
+    /// Encoded content of the snapshot.
     pub bytes: Vec<u8>,
 }
 
-/// What one write makes durable, whole or not at all but for the snapshot,
-/// which may last alone.
+/// The content of one write. A write is atomic, except that after a crash the
+/// snapshot alone may have become durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// A new term or vote.
+    /// New term or vote.
     pub hard: Option<Hard>,
-    /// A snapshot; entries up to its index are needless from then on.
+    /// New snapshot; entries up to the snapshot's index are obsolete from then on.
     pub snapshot: Option<Snapshot>,
-    /// Whether all entries written before are void.
+    /// Whether all entries written earlier become void.
     pub reset: bool,
-    /// Entries; those written before at the first one's index and after are void.
+    /// New entries; entries written earlier become void from the index of the first
+    /// new entry on.
     pub entries: Vec<Entry>,
 }
 
-/// A segment that is not written any more, and its last entry's index.
+/// A segment that is complete and no longer written.
 #[derive(Debug)]
 pub(crate) struct Closed {
     pub(crate) name: String,
+    /// Index of the last entry in the segment.
     pub(crate) last: u64,
 }
 
@@ -96,14 +98,22 @@
 #[derive(Debug)]
 pub struct Journal<D> {
     pub(crate) disk: D,
+    /// Sequence of the last frame.
     pub(crate) sequence: u64,
+    /// Number of the newest segment.
     pub(crate) segment: u64,
+    /// Length of the newest segment, in bytes.
     pub(crate) length: u64,
+    /// Length of a segment, in bytes, after which the next segment begins.
     pub(crate) limit: u64,
+    /// Index of the last entry.
     pub(crate) last: u64,
+    /// Older segments, oldest first.
     pub(crate) closed: Vec<Closed>,
     pub(crate) hard: Hard,
+    /// Index of the newest snapshot; zero for none.
     pub(crate) snapshot: u64,
+    /// Whether a write has failed, after which all further writes are refused.
     pub(crate) stopped: bool,
 }
 
@@ -116,15 +126,15 @@
 }
 
 impl<D: Disk> Journal<D> {
-    /// Sets the length in bytes after which the next segment begins.
+    /// Sets the length of a segment, in bytes, after which the next segment begins.
     pub fn set_segment_bytes(&mut self, limit: u64) {
         self.limit = limit;
     }
 
-    /// Makes a batch durable; returns once it is synced.
+    /// Makes a batch durable; returns once the batch is synced.
     ///
     /// # Errors
-    /// [`Failure::Disk`], and [`Failure::Stopped`] from then on.
+    /// [`Failure::Disk`], and [`Failure::Stopped`] on all writes after that.
     pub fn write(&mut self, batch: Batch) -> Result<(), Report<Failure>> {
         if self.stopped {
             return Err(Report::new(Failure::Stopped));
@@ -150,7 +160,7 @@
     fn put_snapshot(&mut self, snapshot: &Snapshot, reset: bool) -> Result<(), Report<Failure>> {
         let name = snapshot_name(snapshot.index);
         let temporary = format!("{name}.tmp");
-        // a crash before the next frame must not bring void entries back
+        // a crash before the next frame must not restore void entries
         let void = if reset { self.sequence + 1 } else { 0 };
         let bytes = frame::encode_snapshot(void, &snapshot.bytes);
         if self.disk.read(&temporary).is_ok() {
@@ -168,7 +178,8 @@
     fn put_records(&mut self, batch: Batch) -> Result<(), Report<Failure>> {
         let mut records = Vec::with_capacity(batch.entries.len() + 2);
         self.hard = batch.hard.unwrap_or(self.hard);
-        // each segment begins with it, also one whose first frame a crash cut off
+        // each segment begins with the hard state, also a segment whose first frame
+        // was truncated after a crash
         let first = self.length == 0 && !batch.entries.is_empty();
         if batch.hard.is_some() || batch.reset || first {
             records.push(Record::Hard(self.hard));
@@ -203,7 +214,7 @@
         Ok(())
     }
 
-    /// Begins the next segment, which repeats the term and vote.
+    /// Begins the next segment, which starts with a copy of the hard state.
     fn rotate(&mut self) -> Result<(), Report<Failure>> {
         self.closed.push(Closed { name: segment_name(self.segment), last: self.last });
         self.segment += 1;
@@ -211,9 +222,10 @@
         self.put_frame(&[Record::Hard(self.hard)])
     }
 
-    /// Removes older snapshots, and the segments that end at or before one.
+    /// Removes the previous snapshot, and the segments whose last entry is at or before
+    /// the index of the new snapshot.
     fn compact(&mut self, index: u64) -> Result<(), Report<Failure>> {
-        // what is removed may hold the only record of the term and vote
+        // the removed segments may contain the only record of the hard state
         if self.length == 0 && !self.closed.is_empty() {
             self.put_frame(&[Record::Hard(self.hard)])?;
         }
@@ -224,9 +236,10 @@
         if old > 0 && old != index {
             self.remove(&snapshot_name(old))?;
         }
-        // from the oldest on, each synced, so that a crash leaves no gap between two
-        let needless = self.closed.iter().take_while(|closed| closed.last <= index).count();
-        for closed in self.closed.drain(..needless).collect::<Vec<_>>() {
+        // the oldest segment is removed first and each removal is synced, so that a
+        // crash leaves no gap between two segments
+        let obsolete = self.closed.iter().take_while(|closed| closed.last <= index).count();
+        for closed in self.closed.drain(..obsolete).collect::<Vec<_>>() {
             self.remove(&closed.name)?;
         }
         Ok(())
--- a/components/journal/tests/fake/mod.rs
+++ b/components/journal/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that loses what is not synced.
+//! An in-memory disk that loses unsynced changes in a crash.
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
@@ -18,9 +18,11 @@
 #[derive(Debug, Default)]
 struct Inner {
     files: Vec<File>,
-    /// Names after each change since the folder was synced, the synced ones first.
+    /// File names after each change since the last sync of the folder, starting with
+    /// the synced names.
     names: Vec<Names>,
-    left: Option<u32>,
+    /// Number of changes that still succeed; all changes if none.
+    remaining: Option<u32>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -28,23 +30,23 @@
 
 impl Fake {
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.0.lock().expect("no test panics while it holds this")
+        self.0.lock().expect("no test panics while holding the lock")
     }
 
-    /// Lets so many changes succeed and all later ones fail.
+    /// Lets the next `changes` changes succeed and fails all later ones.
     pub fn fail_after(&self, changes: u32) {
-        self.inner().left = Some(changes);
+        self.inner().remaining = Some(changes);
     }
 
     pub fn heal(&self) {
-        self.inner().left = None;
+        self.inner().remaining = None;
     }
 
-    /// Loses some of what is not synced: of names a tail of the changes, of
-    /// files a tail or the bytes of it.
+    /// Loses a random part of the unsynced changes: the last changes of file names,
+    /// and the end of the unsynced content of files, the rest of which may be zeroed.
     pub fn crash(&self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         let mut inner = self.inner();
-        inner.left = None;
+        inner.remaining = None;
         if !inner.names.is_empty() {
             let kept = u.choose_index(inner.names.len())?;
             inner.names = vec![inner.names[kept].clone()];
@@ -65,30 +67,30 @@
     }
 
     pub fn length(&self, name: &str) -> usize {
-        self.read(name).expect("it is there").len()
+        self.read(name).expect("the file exists").len()
     }
 
-    pub fn cut(&self, name: &str, length: usize) {
+    pub fn truncate_file(&self, name: &str, length: usize) {
         self.change(name, |content| content.truncate(length));
     }
 
-    pub fn flip(&self, name: &str, place: usize) {
-        self.change(name, |content| content[place] ^= 0x10);
+    pub fn flip_bit(&self, name: &str, offset: usize) {
+        self.change(name, |content| content[offset] ^= 0x10);
     }
 
     fn change(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut inner = self.inner();
-        let file = inner.find(name).expect("it is there");
+        let file = inner.find(name).expect("the file exists");
         change(&mut inner.files[file].content);
     }
 }
 
 impl Inner {
-    fn step(&mut self) -> Result<()> {
-        match &mut self.left {
+    fn count_change(&mut self) -> Result<()> {
+        match &mut self.remaining {
             Some(0) => Err(Error::from(ErrorKind::StorageFull)),
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 Ok(())
             }
             None => Ok(()),
@@ -134,8 +136,8 @@
             names.insert(name.to_owned(), file);
             inner.push(names);
         }
-        let done = inner.step();
-        // a failed append may leave a part
+        let done = inner.count_change();
+        // a failed append may write a part of the bytes
         let part = if done.is_ok() { bytes.len() } else { bytes.len() / 2 };
         inner.files[file].content.extend_from_slice(&bytes[..part]);
         done
@@ -143,7 +145,7 @@
 
     fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
         let mut inner = self.inner();
-        inner.step()?;
+        inner.count_change()?;
         let file = inner.find(name)?;
         inner.files[file].content.truncate(length as usize);
         Ok(())
@@ -151,7 +153,7 @@
 
     fn sync(&mut self, name: &str) -> Result<()> {
         let mut inner = self.inner();
-        inner.step()?;
+        inner.count_change()?;
         let file = inner.find(name)?;
         let content = inner.files[file].content.clone();
         inner.files[file].durable = content;
@@ -160,7 +162,7 @@
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
         let mut inner = self.inner();
-        inner.step()?;
+        inner.count_change()?;
         let mut names = inner.current();
         let file = names.remove(from).ok_or_else(|| Error::from(ErrorKind::NotFound))?;
         names.insert(to.to_owned(), file);
@@ -170,7 +172,7 @@
 
     fn remove(&mut self, name: &str) -> Result<()> {
         let mut inner = self.inner();
-        inner.step()?;
+        inner.count_change()?;
         let mut names = inner.current();
         names.remove(name).ok_or_else(|| Error::from(ErrorKind::NotFound))?;
         inner.push(names);
@@ -179,7 +181,7 @@
 
     fn sync_folder(&mut self) -> Result<()> {
         let mut inner = self.inner();
-        inner.step()?;
+        inner.count_change()?;
         let names = inner.current();
         inner.names = vec![names];
         Ok(())
--- a/components/journal/tests/fuzz.rs
+++ b/components/journal/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! A journal on a disk that loses what is not synced, crashing at any point,
-//! against a plain model of what was acknowledged.
+//! Fuzz tests of the journal against a model of the acknowledged writes, on a disk
+//! that may fail at any change and loses unsynced changes in a crash.
 
 mod fake;
 
@@ -9,17 +9,19 @@
 
 use fake::Fake;
 
-/// Schedules of a run in CI.
+/// Default number of schedules, as run in CI.
 const SCHEDULES: u64 = 2_000;
 
-/// Bytes that a schedule draws from; the lower half of a seed of `arbtest`.
+/// Length of the random input of a schedule, in bytes, which is the lower half of a
+/// seed of `arbtest`.
 const SIZE_BYTES: u64 = 8_192;
 
+/// Number of writes in a schedule.
 const STEPS: usize = 60;
 
 const SEGMENT_BYTES: u64 = 400;
 
-/// What a journal must hold.
+/// The content that a journal must have.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
     hard: Hard,
@@ -29,7 +31,7 @@
 
 impl Model {
     fn write(&mut self, batch: &Batch) {
-        self.snapshot(batch);
+        self.write_snapshot(batch);
         self.hard = batch.hard.unwrap_or(self.hard);
         if let Some(first) = batch.entries.first() {
             self.entries.retain(|entry| entry.index < first.index);
@@ -37,8 +39,8 @@
         self.entries.extend(batch.entries.clone());
     }
 
-    /// The part of a batch that may last alone.
-    fn snapshot(&mut self, batch: &Batch) {
+    /// Applies the snapshot of a batch, which may become durable alone.
+    fn write_snapshot(&mut self, batch: &Batch) {
         if let Some(snapshot) = &batch.snapshot {
             self.entries.retain(|entry| !batch.reset && entry.index > snapshot.index);
             self.snapshot = Some(snapshot.clone());
@@ -67,8 +69,8 @@
     let mut first = u.int_in_range(model.base() + 1..=model.last() + 1)?;
     if u.ratio(1, 8)? {
         batch.reset = u.arbitrary()?;
-        let most = if batch.reset { model.last() + 20 } else { model.last() };
-        let index = u.int_in_range(model.base()..=most)?;
+        let max = if batch.reset { model.last() + 20 } else { model.last() };
+        let index = u.int_in_range(model.base()..=max)?;
         if index > model.base() {
             batch.snapshot = Some(Snapshot { index, bytes: bytes(u)? });
             first = if batch.reset { index + 1 } else { first.max(index + 1) };
@@ -83,7 +85,8 @@
 }
 
 fn open(disk: &Fake) -> (Journal<Fake>, Model) {
-    let (mut journal, recovered) = Journal::open(disk.clone()).expect("it opens after a crash");
+    let (mut journal, recovered) =
+        Journal::open(disk.clone()).expect("the journal opens after a crash");
     journal.set_segment_bytes(SEGMENT_BYTES);
     let (hard, snapshot) = (recovered.hard, recovered.snapshot);
     (journal, Model { hard, snapshot, entries: recovered.entries })
@@ -95,7 +98,7 @@
     for _ in 0..STEPS {
         let batch = batch(u, &model)?;
         if u.ratio(3, 4)? {
-            journal.write(batch.clone()).expect("the disk works");
+            journal.write(batch.clone()).expect("the disk accepts writes");
             model.write(&batch);
             continue;
         }
@@ -103,7 +106,7 @@
         let mut after = model.clone();
         after.write(&batch);
         let mut between = model.clone();
-        between.snapshot(&batch);
+        between.write_snapshot(&batch);
         let written = journal.write(batch).is_ok();
         disk.crash(u)?;
         let (opened, found) = open(&disk);
@@ -115,7 +118,7 @@
 }
 
 #[test]
-fn keeps_what_it_acknowledged() {
+fn keeps_acknowledged_writes() {
     let set = std::env::var("TREFOIL_FUZZ_SCHEDULES").ok();
     let schedules = set.map_or(SCHEDULES, |set| set.parse().expect("a number"));
     let start = std::time::Instant::now();
@@ -131,7 +134,7 @@
     let (mut journal, _) = open(&disk);
     for index in 1..=3 {
         let entries = vec![Entry { index, bytes: vec![7; 20] }];
-        journal.write(Batch { entries, ..Batch::default() }).expect("the disk works");
+        journal.write(Batch { entries, ..Batch::default() }).expect("the disk accepts writes");
     }
     disk
 }
@@ -139,40 +142,40 @@
 const SEGMENT: &str = "00000000000000000001.log";
 
 #[test]
-fn cuts_a_torn_tail() {
+fn truncates_a_torn_tail() {
     let disk = three_frames();
     let length = disk.length(SEGMENT);
-    disk.cut(SEGMENT, length - 1);
+    disk.truncate_file(SEGMENT, length - 1);
     let (mut journal, model) = open(&disk);
     assert_eq!(model.entries.len(), 2);
     let entries = vec![Entry { index: 3, bytes: vec![8] }];
-    journal.write(Batch { entries, ..Batch::default() }).expect("the disk works");
+    journal.write(Batch { entries, ..Batch::default() }).expect("the disk accepts writes");
     assert_eq!(open(&disk).1.entries.len(), 3);
 }
 
 #[test]
-fn errors_on_a_corrupt_middle() {
+fn rejects_a_corrupt_frame_before_a_valid_one() {
     let disk = three_frames();
-    for place in 0..disk.length(SEGMENT) * 2 / 3 {
-        disk.flip(SEGMENT, place);
-        let failure = inspect(&disk).expect_err("it is corrupt");
+    for offset in 0..disk.length(SEGMENT) * 2 / 3 {
+        disk.flip_bit(SEGMENT, offset);
+        let failure = inspect(&disk).expect_err("the file is corrupt");
         assert!(matches!(failure.current_context(), Failure::Corrupt { .. }), "{failure:?}");
-        disk.flip(SEGMENT, place);
+        disk.flip_bit(SEGMENT, offset);
     }
 }
 
 #[test]
-fn errors_on_a_corrupt_snapshot() {
+fn rejects_a_corrupt_snapshot() {
     let disk = three_frames();
     let (mut journal, _) = open(&disk);
     let snapshot = Some(Snapshot { index: 2, bytes: vec![1, 2, 3] });
-    journal.write(Batch { snapshot, ..Batch::default() }).expect("the disk works");
+    journal.write(Batch { snapshot, ..Batch::default() }).expect("the disk accepts writes");
     let name = "00000000000000000002.snap";
-    for place in 0..disk.length(name) {
-        disk.flip(name, place);
-        let failure = inspect(&disk).expect_err("it is corrupt");
+    for offset in 0..disk.length(name) {
+        disk.flip_bit(name, offset);
+        let failure = inspect(&disk).expect_err("the file is corrupt");
         assert!(matches!(failure.current_context(), Failure::Corrupt { .. }), "{failure:?}");
-        disk.flip(name, place);
+        disk.flip_bit(name, offset);
     }
 }
 
@@ -185,7 +188,7 @@
     let failure = journal.write(batch.clone()).expect_err("the disk is full");
     assert!(matches!(failure.current_context(), Failure::Disk { .. }), "{failure:?}");
     disk.heal();
-    let failure = journal.write(batch).expect_err("what the disk holds is not known");
+    let failure = journal.write(batch).expect_err("the state of the disk is unknown");
     assert_eq!(*failure.current_context(), Failure::Stopped);
 }
 
--- a/components/link/src/frame.rs
+++ b/components/link/src/frame.rs
@@ -10,18 +10,19 @@
 
 use crate::peer::Failure;
 
-/// Longest frame in bytes.
+/// Maximum length of the message in a frame, in bytes.
 pub const MAX_BYTES: usize = 4 << 20;
 
-/// Bytes of the length before a frame.
+/// Size of the length prefix of a frame, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Longest time that one write may take.
+/// Time limit for one flush of a [`Writer`].
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// Initial capacity of the read buffer, in bytes.
 const READ_BYTES: usize = 64 << 10;
 
-/// The reading end of a link.
+/// The read half of a link.
 #[derive(Debug)]
 pub struct Reader {
     io: ReadHalf<TcpStream>,
@@ -33,21 +34,22 @@
         Self { io, buffer: BytesMut::with_capacity(READ_BYTES) }
     }
 
-    /// Bytes that came of a frame that is not whole yet.
+    /// Returns the number of bytes received of an incomplete frame.
     pub fn pending(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next message, or `None` when the other end closed between frames.
+    /// Reads the next message; `None` when the peer closed the link between frames.
     ///
-    /// Safe to drop while it waits: what has come is kept.
+    /// Cancel safe: bytes received before the future is dropped stay buffered.
     ///
     /// # Errors
-    /// [`Failure::Io`], [`Failure::Oversized`], [`Failure::UnexpectedEof`] within a
-    /// frame, [`Failure::Malformed`] when a frame is no such message.
+    /// [`Failure::Io`], [`Failure::Oversized`], [`Failure::UnexpectedEof`] when the
+    /// link closes within a frame, or [`Failure::Malformed`] when a frame does not
+    /// decode as `M`.
     pub async fn next<M: Message + Default>(&mut self) -> Result<Option<M>, Report<Failure>> {
         loop {
-            if let Some(message) = self.take()? {
+            if let Some(message) = self.decode_frame()? {
                 return Ok(Some(message));
             }
             let read = self.io.read_buf(&mut self.buffer).await.change_context(Failure::Io)?;
@@ -59,11 +61,11 @@
         }
     }
 
-    fn take<M: Message + Default>(&mut self) -> Result<Option<M>, Report<Failure>> {
-        let Some(head) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
+    fn decode_frame<M: Message + Default>(&mut self) -> Result<Option<M>, Report<Failure>> {
+        let Some(prefix) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
-        let length = u32::from_be_bytes(*head) as usize;
+        let length = u32::from_be_bytes(*prefix) as usize;
         if length > MAX_BYTES {
             return Err(Report::new(Failure::Oversized { bytes: length }));
         }
@@ -77,7 +79,7 @@
     }
 }
 
-/// The writing end of a link.
+/// The write half of a link.
 #[derive(Debug)]
 pub struct Writer {
     io: WriteHalf<TcpStream>,
@@ -89,10 +91,10 @@
         Self { io, buffer: BytesMut::new() }
     }
 
-    /// Puts a message into the buffer; [`Writer::flush`] sends it.
+    /// Appends a message to the buffer; [`Writer::flush`] sends it.
     ///
     /// # Errors
-    /// [`Failure::Oversized`]; the buffer stays as it was.
+    /// [`Failure::Oversized`]; the buffer is unchanged then.
     pub fn put<M: Message>(&mut self, message: &M) -> Result<(), Report<Failure>> {
         let length = message.encoded_len();
         if length > MAX_BYTES {
@@ -102,26 +104,26 @@
         message.encode(&mut self.buffer).change_context(Failure::Malformed)
     }
 
-    /// Bytes that wait for [`Writer::flush`].
+    /// Returns the number of buffered bytes that [`Writer::flush`] would send.
     pub fn pending(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Sends all that waits.
+    /// Sends all buffered messages.
     ///
     /// # Errors
-    /// [`Failure::Io`], or [`Failure::Timeout`] after [`WRITE_TIMEOUT`]; the
-    /// link is of no use after either.
+    /// [`Failure::Io`], or [`Failure::Timeout`] after [`WRITE_TIMEOUT`]; the link
+    /// can't be used after either.
     pub async fn flush(&mut self) -> Result<(), Report<Failure>> {
         let write = self.io.write_all_buf(&mut self.buffer);
         let written = tokio::time::timeout(WRITE_TIMEOUT, write).await;
         written.change_context(Failure::Timeout)?.change_context(Failure::Io)
     }
 
-    /// Puts one message and sends it.
+    /// Appends one message to the buffer and flushes it.
     ///
     /// # Errors
-    /// As [`Writer::put`] and [`Writer::flush`].
+    /// Those of [`Writer::put`] and [`Writer::flush`].
     pub async fn send<M: Message>(&mut self, message: &M) -> Result<(), Report<Failure>> {
         self.put(message)?;
         self.flush().await
--- a/components/link/src/key.rs
+++ b/components/link/src/key.rs
@@ -1,4 +1,4 @@
-//! The key that the system's own processes share.
+//! The key shared by all processes of the system.
 
 use std::fmt;
 
@@ -6,16 +6,16 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Least length of a key in bytes.
+/// Minimum length of a key, in bytes.
 pub const MIN_BYTES: usize = 16;
 
-/// Length of a proof in bytes.
+/// Length of a proof (an HMAC-SHA-256), in bytes.
 pub const PROOF_BYTES: usize = 32;
 
-/// A key that is too short.
+/// Error: a key is shorter than [`MIN_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooShort {
-    /// Its length in bytes.
+    /// Length of the key, in bytes.
     pub bytes: usize,
 }
 
@@ -27,7 +27,7 @@
 
 impl std::error::Error for TooShort {}
 
-/// A shared key. Its debug form shows nothing of it.
+/// A shared key. The `Debug` output does not reveal the key.
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
@@ -38,7 +38,7 @@
 }
 
 impl Key {
-    /// Takes a key of at least [`MIN_BYTES`].
+    /// Creates a key from at least [`MIN_BYTES`] bytes.
     pub fn new(bytes: &[u8]) -> Result<Self, Report<TooShort>> {
         if bytes.len() < MIN_BYTES {
             return Err(Report::new(TooShort { bytes: bytes.len() }));
@@ -46,17 +46,18 @@
         Ok(Self(bytes.to_vec()))
     }
 
-    /// The key's bytes, for a key derived from it.
+    /// Returns the bytes of the key, from which another key can be derived.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Proof over several parts, each bound by its length.
+    /// Computes a proof over several parts. The length of each part is included, so
+    /// that bytes can't move from one part to the next.
     pub fn prove(&self, parts: &[&[u8]]) -> [u8; PROOF_BYTES] {
         self.mac(parts).finalize().into_bytes().into()
     }
 
-    /// Whether `proof` is right, in constant time.
+    /// Whether `proof` is valid for `parts`; compares in constant time.
     pub fn verify(&self, parts: &[&[u8]], proof: &[u8]) -> bool {
         self.mac(parts).verify_slice(proof).is_ok()
     }
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -1,10 +1,10 @@
 //! Framed TCP links between the system's own processes.
 //!
 //! A frame is a length of four bytes, big-endian, and that many bytes of one
-//! message. Before the first message both ends prove that they hold the shared
-//! key, each over a number that the other end drew, and name themselves. Links
-//! never send anything again: a message that may have left is the business of
-//! the layer that sent it.
+//! message. Before the first message, both ends name themselves and prove that they
+//! hold the shared key, each over a nonce of the other end. Links never resend a
+//! message: whether one that may have been delivered is retried is decided by the
+//! layer that sent it.
 
 pub mod frame;
 pub mod key;
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -1,9 +1,9 @@
-//! How the two ends of a link come to know each other.
+//! Handshake and mutual authentication of a link.
 //!
-//! Each end sends a `Hello` with its name, incarnation, purpose and a number
-//! it drew; then each sends a proof over both `Hello`s. A proof names the end
-//! that made it, so it can't be sent back to its maker. No other message
-//! counts before the proof is right.
+//! Each end sends a [`Peer`] message with its name, incarnation, purpose and a
+//! random nonce; then each sends a proof over both `Peer` messages. A proof includes
+//! the side that made it (dialer or acceptor), so it can't be reflected to its
+//! sender. No other message is accepted before the proof is verified.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,58 +18,59 @@
 use crate::key::Key;
 use crate::socket;
 
-/// Longest time for connecting and the proofs together.
+/// Time limit for the handshake on a connection that is established.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest time for connecting alone. A host that is starting leaves the first
-/// packet without an answer, and the kernel sends the next one after a second.
+/// Time limit for establishing a TCP connection. A host that is starting does not
+/// answer the first SYN, and the kernel resends it only after a second; dialing
+/// again is faster.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Length of the number that each end draws.
+/// Length of the random nonce of each end, in bytes.
 pub const NONCE_BYTES: usize = 16;
 
 const DIALER: &[u8] = b"dialer";
 const ACCEPTOR: &[u8] = b"acceptor";
 
-/// What a link is for.
+/// The protocol that a link carries.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Purpose {
-    /// Stands for a purpose that this release does not know.
+    /// Purpose that this release does not know.
     Other = 0,
-    /// A front asks a keeper.
+    /// Requests of a front to a keeper.
     Data = 1,
-    /// An entry follows control.
+    /// Control log and leases, between an entry and a control member.
     Control = 2,
-    /// Control members among themselves.
+    /// Consensus between control members.
     Quorum = 3,
 }
 
 /// Why a link failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Could not connect.
+    /// The TCP connection could not be established.
     Connect {
-        /// Address that was dialled.
+        /// Dialed address.
         address: SocketAddr,
     },
-    /// Reading or writing failed.
+    /// A read or write on the socket failed.
     Io,
-    /// It took too long.
+    /// Connecting, the handshake or a write exceeded its time limit.
     Timeout,
-    /// The other end closed within a frame.
+    /// The peer closed the link within a frame.
     UnexpectedEof,
-    /// A frame is too long.
+    /// A frame exceeds [`MAX_BYTES`](crate::frame::MAX_BYTES).
     Oversized {
-        /// Its length in bytes.
+        /// Length of the frame, in bytes.
         bytes: usize,
     },
-    /// A frame is not the message that was due.
+    /// A frame does not decode as the expected message.
     Malformed,
-    /// The other end does not hold the key.
+    /// The peer did not prove that it holds the shared key.
     Unauthenticated,
 }
 
@@ -77,37 +78,37 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Connect { address } => write!(f, "could not connect to {address}"),
-            Self::Io => f.write_str("reading or writing failed"),
-            Self::Timeout => f.write_str("the link took too long"),
-            Self::UnexpectedEof => f.write_str("the link closed within a frame"),
+            Self::Io => f.write_str("reading from or writing to the link failed"),
+            Self::Timeout => f.write_str("the link timed out"),
+            Self::UnexpectedEof => f.write_str("the peer closed the link within a frame"),
             Self::Oversized { bytes } => write!(f, "a frame of {bytes} bytes is too long"),
-            Self::Malformed => f.write_str("a frame is not the message that was due"),
-            Self::Unauthenticated => f.write_str("the other end does not hold the key"),
+            Self::Malformed => f.write_str("a frame is not the expected message"),
+            Self::Unauthenticated => f.write_str("the peer does not hold the shared key"),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// One end's first message, and who the other end is once it is proved.
+/// The identity of one end of a link, which is also the first message of that end.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Peer {
     /// Name of the process.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Raised by each start of the process.
+    /// Incarnation of the process, raised by each start of it.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// What the link is for.
+    /// Purpose of the link, as a [`Purpose`].
     #[prost(enumeration = "Purpose", tag = "3")]
     pub purpose: i32,
-    /// The number that it drew.
+    /// Random nonce, [`NONCE_BYTES`] long.
     #[prost(bytes = "vec", tag = "4")]
     pub nonce: Vec<u8>,
 }
 
 impl Peer {
-    /// Makes the first message of a process.
+    /// Creates the identity of a process; the handshake adds the nonce.
     pub fn new(name: &str, incarnation: u64, purpose: Purpose) -> Self {
         let nonce = Vec::new();
         Self { name: name.to_owned(), incarnation, purpose: purpose as i32, nonce }
@@ -126,10 +127,11 @@
     proof: Vec<u8>,
 }
 
-/// Dials an address and proves both ends.
+/// Dials an address and authenticates both ends.
 ///
 /// # Errors
-/// [`Failure::Connect`] when nothing listens, else as [`accept`].
+/// [`Failure::Connect`] when nothing listens at the address; otherwise those of
+/// [`accept`].
 pub async fn dial(
     address: SocketAddr,
     own: &Peer,
@@ -138,33 +140,35 @@
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream =
         connected.change_context(Failure::Timeout)?.change_context(Failure::Connect { address })?;
-    shake(stream, own, key, DIALER, ACCEPTOR).await
+    handshake(stream, own, key, DIALER, ACCEPTOR).await
 }
 
-/// Takes an accepted connection and proves both ends.
+/// Authenticates both ends of an accepted connection.
 ///
 /// # Errors
-/// [`Failure::Timeout`], [`Failure::Unauthenticated`], or a failure of the frames.
+/// [`Failure::Timeout`], [`Failure::Unauthenticated`], or a failure to read or write
+/// a frame.
 pub async fn accept(
     stream: TcpStream,
     own: &Peer,
     key: &Key,
 ) -> Result<(Peer, Reader, Writer), Report<Failure>> {
-    shake(stream, own, key, ACCEPTOR, DIALER).await
+    handshake(stream, own, key, ACCEPTOR, DIALER).await
 }
 
-async fn shake(
+async fn handshake(
     stream: TcpStream,
     own: &Peer,
     key: &Key,
     side: &[u8],
     other: &[u8],
 ) -> Result<(Peer, Reader, Writer), Report<Failure>> {
-    let proved = tokio::time::timeout(HANDSHAKE_TIMEOUT, prove(stream, own, key, side, other));
-    proved.await.change_context(Failure::Timeout)?
+    let authenticated =
+        tokio::time::timeout(HANDSHAKE_TIMEOUT, authenticate(stream, own, key, side, other));
+    authenticated.await.change_context(Failure::Timeout)?
 }
 
-async fn prove(
+async fn authenticate(
     stream: TcpStream,
     own: &Peer,
     key: &Key,
@@ -181,9 +185,9 @@
     let proof = key.prove(&[side, &mine, &theirs]).to_vec();
     writer.send(&Proof { proof }).await?;
     let answer: Proof = reader.next().await?.ok_or(Failure::Unauthenticated)?;
-    let right =
+    let valid =
         peer.nonce.len() == NONCE_BYTES && key.verify(&[other, &theirs, &mine], &answer.proof);
-    if !right {
+    if !valid {
         return Err(Report::new(Failure::Unauthenticated));
     }
     Ok((peer, reader, writer))
--- a/components/link/src/socket.rs
+++ b/components/link/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of sockets that every connection of the system sets.
+//! Socket options set on every connection of the system.
 
 use std::io;
 
@@ -6,20 +6,21 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time after which sent bytes that were not confirmed break a connection.
+/// Time for which sent data may stay unacknowledged before the connection is closed
+/// (`TCP_USER_TIMEOUT`).
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Time without traffic after which the other end is asked whether it lives.
+/// Idle time after which keepalive probes begin.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(2);
 
-/// Time between two such questions.
+/// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions without an answer that break a connection.
+/// Number of unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 3;
 
-/// Sends small messages at once, and breaks a connection whose other end is
-/// silent.
+/// Disables Nagle's algorithm, so that small messages are sent at once, and sets
+/// the timeouts that close a connection whose peer is unreachable.
 pub fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -1,14 +1,15 @@
-//! Between an entry and a control member.
+//! Messages between an entry and a control member.
 //!
-//! The entry dials any member, names the last index it has applied, and from
-//! then on is sent what is committed. It beats at a steady pace; a beat is
-//! answered only with a quorum behind it, and the answer extends the entry's
-//! lease, counted from when the beat was sent.
+//! The entry dials any member and names the last index that it has applied; the
+//! member then sends it all commands committed after that. The entry sends
+//! heartbeats ([`Beat`]) at a fixed interval. The member confirms a heartbeat only
+//! after a quorum did, and the confirmation extends the entry's lease, counted from
+//! the time at which the heartbeat was sent.
 
 use crate::log::{Command, Join};
 use crate::mark::Mark;
 
-/// What an entry sends.
+/// A message from an entry to a control member.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Up {
     /// The message.
@@ -16,111 +17,113 @@
     pub body: Option<up::Body>,
 }
 
-/// The kinds of [`Up`].
+/// Message kinds of [`Up`].
 pub mod up {
-    /// One of an entry's messages.
+    /// Body of a message from an entry.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
-        /// Follow the log.
+        /// Starts to follow the control log.
         #[prost(message, tag = "1")]
         Follow(super::Follow),
-        /// Renew the lease.
+        /// Heartbeat that renews the entry's lease.
         #[prost(message, tag = "2")]
         Beat(super::Beat),
-        /// What a keeper sees of a group's primary.
+        /// Condition of a group's primary, as the entry's keeper observes it.
         #[prost(message, tag = "3")]
         Symptom(super::Symptom),
-        /// The entry is stopping and holds no connection any more.
+        /// The entry is stopping and no longer holds any connection.
         #[prost(message, tag = "4")]
         Leave(super::Leave),
-        /// A keeper has ended its work for an earlier primary.
+        /// The entry's keeper has ended its work for an earlier primary.
         #[prost(message, tag = "5")]
         Seal(super::Seal),
     }
 }
 
-/// Follows the log from an index on.
+/// Starts to follow the control log after an index.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Follow {
-    /// The entry.
+    /// Description of the entry.
     #[prost(message, optional, tag = "1")]
     pub join: Option<Join>,
-    /// Last index that the entry has applied; zero when it has nothing.
+    /// Last index that the entry has applied; zero when it has applied none.
     #[prost(uint64, tag = "2")]
     pub applied: u64,
 }
 
-/// Renews a lease.
+/// A heartbeat that renews an entry's lease.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Beat {
-    /// Number of the beat on this link.
+    /// Sequence number of the heartbeat on this link.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
     /// Last index that the entry has applied.
     #[prost(uint64, tag = "2")]
     pub applied: u64,
-    /// Groups whose returning lease the entry has given up, all connections closed.
+    /// Names of the groups whose revoked lease the entry has released, with all its
+    /// connections closed.
     #[prost(string, repeated, tag = "3")]
     pub returned: Vec<String>,
 }
 
-/// What a keeper sees of a server.
+/// Condition of a server, as a keeper observes it.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Condition {
-    /// It answers and its replicas keep up.
+    /// The server answers and its replicas keep up.
     Healthy = 0,
-    /// It refuses connections: the process is gone.
+    /// The server refuses connections: its process is gone.
     Refused = 1,
-    /// It does not answer.
+    /// The server does not answer.
     Silent = 2,
-    /// It answers, but a majority of its replicas have lost it.
+    /// The server answers, but a majority of its replicas have lost contact with it.
     CutOff = 3,
 }
 
-/// What a keeper sees of a group's primary; sent when it changes.
+/// Condition of a group's primary, sent whenever the condition changes.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Symptom {
-    /// The group.
+    /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// The server taken for its primary.
+    /// Name of the server that the keeper considers the primary.
     #[prost(string, tag = "2")]
     pub server: String,
     /// Term of that primary.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// What is seen.
+    /// Observed condition, as a [`Condition`].
     #[prost(enumeration = "Condition", tag = "4")]
     pub condition: i32,
 }
 
-/// A keeper that has ended its work for the primaries before a term. It passes
-/// on no answer of theirs any more.
+/// Confirms that a keeper has ended its work for all primaries before a term and no
+/// longer passes on any answer of theirs.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Seal {
-    /// The group.
+    /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// The term that is intended.
+    /// Intended term; earlier terms are sealed.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Highest mark that it has acknowledged to a caller; none if it has none.
+    /// Highest mark that the keeper has acknowledged to a caller, if any.
     #[prost(message, optional, tag = "3")]
     pub mark: Option<Mark>,
-    /// Index of the control log that it had applied when it sent that commit.
+    /// Index of the control log that the keeper had applied when it sent the commit
+    /// of that mark.
     #[prost(uint64, tag = "4")]
     pub index: u64,
 }
 
-/// An entry that stops.
+/// Announces that the entry is stopping.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Leave {}
 
-/// What a member sends.
+/// A message from a control member to an entry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Down {
     /// The message.
@@ -128,42 +131,42 @@
     pub body: Option<down::Body>,
 }
 
-/// The kinds of [`Down`].
+/// Message kinds of [`Down`].
 pub mod down {
-    /// One of a member's messages.
+    /// Body of a message from a control member.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
-        /// A piece of the whole state, for an entry too far behind.
+        /// A piece of the whole control state, for an entry too far behind the log.
         #[prost(message, tag = "1")]
         Image(super::Image),
-        /// Committed commands in order.
+        /// Committed commands, in log order.
         #[prost(message, tag = "2")]
         Entries(super::Entries),
-        /// A beat is confirmed.
+        /// Confirmation of a heartbeat.
         #[prost(message, tag = "3")]
         Confirm(super::Confirm),
-        /// The member cannot serve: dial another.
+        /// The member can't serve the entry, which must dial another member.
         #[prost(message, tag = "4")]
         Refuse(super::Refuse),
-        /// Where the members listen.
+        /// Addresses of all members.
         #[prost(message, tag = "5")]
         Members(super::Members),
     }
 }
 
-/// A piece of the whole state.
+/// A piece of the whole control state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Image {
-    /// Index that the state stands at.
+    /// Last log index included in the state.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// Offset of the piece in bytes.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Length of the whole in bytes.
+    /// Length of the whole state in bytes.
     #[prost(uint64, tag = "3")]
     pub length: u64,
-    /// The piece.
+    /// Content of the piece.
     #[prost(bytes = "bytes", tag = "4")]
     pub bytes: bytes::Bytes,
 }
@@ -171,45 +174,47 @@
 /// Committed commands.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Entries {
-    /// The entries, in order.
+    /// Log entries, in log order.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<Entry>,
 }
 
-/// A committed command.
+/// A committed entry of the control log.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Entry {
-    /// Its index.
+    /// Index of the log entry.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The command; none where the log holds a mark of its own.
+    /// Command of the log entry; none for an entry that the quorum wrote for itself:
+    /// the first entry of a new leader, or a change of membership.
     #[prost(message, optional, tag = "2")]
     pub command: Option<Command>,
 }
 
-/// Confirms a beat.
+/// Confirms a heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Confirm {
-    /// Number of the beat.
+    /// Sequence number of the heartbeat.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// Index that was committed when the beat was confirmed. The lease is
-    /// extended only once the entry has applied up to here.
+    /// Index that was committed when the heartbeat was confirmed. The lease is
+    /// extended only once the entry has applied the log up to this index.
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// Length of the lease in milliseconds, from when the beat was sent.
+    /// Duration of the lease in milliseconds, from the time at which the heartbeat was
+    /// sent.
     #[prost(uint64, tag = "3")]
     pub lease_ms: u64,
 }
 
-/// Where the members of the quorum listen, for the next dial.
+/// Addresses of the members of the quorum, for the entry's next dial.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Members {
-    /// IP number and port for links of each.
+    /// IP address and port of each member for links.
     #[prost(string, repeated, tag = "1")]
     pub links: Vec<String>,
 }
 
-/// A member that cannot serve.
+/// Announces that the member can't serve the entry.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Refuse {}
--- a/components/wire/src/data.rs
+++ b/components/wire/src/data.rs
@@ -1,14 +1,14 @@
-//! Between a front and a keeper.
+//! Messages between a front and a keeper.
 //!
-//! One link carries the requests of many callers. A request is one cycle of
-//! the callers' protocol: the client messages up to and with one Query or
-//! Sync, answered by server messages up to and with one ReadyForQuery. The
-//! link's handshake names both processes and their incarnations, so a request
-//! is named by its number alone; a number is never used twice on a link.
+//! One link carries the requests of many callers. A request is one cycle of the
+//! callers' protocol: the client messages up to and including one Query or Sync,
+//! answered by the server messages up to and including one ReadyForQuery. The link's
+//! handshake identifies both processes and their incarnations, so a number alone
+//! identifies a request; a number is never reused on a link.
 
 use crate::mark::Mark;
 
-/// What a front sends.
+/// A message from a front to a keeper.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ask {
     /// The message.
@@ -16,109 +16,113 @@
     pub body: Option<ask::Body>,
 }
 
-/// The kinds of [`Ask`].
+/// Message kinds of [`Ask`].
 pub mod ask {
-    /// One of a front's messages.
+    /// Body of a message from a front.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
-        /// Run one cycle.
+        /// Runs a request.
         #[prost(message, tag = "1")]
         Run(super::Run),
-        /// More of the answer may be sent.
+        /// Allows the keeper to send more of an answer.
         #[prost(message, tag = "2")]
         Credit(super::Credit),
-        /// Cancel a running request, as the caller asked.
+        /// Cancels a running request on behalf of the caller.
         #[prost(message, tag = "3")]
         Cancel(super::Cancel),
-        /// The caller has gone: roll back and forget it.
+        /// Ends the session of a caller that disconnected; an open transaction is
+        /// rolled back.
         #[prost(message, tag = "4")]
         Leave(super::Leave),
-        /// The front is stopping and asks for nothing more.
+        /// Announces that the front starts no new transactions on this link.
         #[prost(message, tag = "5")]
         Shutdown(super::Shutdown),
-        /// Asks whether the keeper lives.
+        /// Checks that the keeper is alive.
         #[prost(message, tag = "6")]
         Ping(super::Ping),
     }
 }
 
-/// How a request may be run.
+/// How a request may be routed and retried.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Class {
-    /// Not declared otherwise: it may write, and runs at most once.
+    /// Not declared otherwise: the request may write and runs at most once.
     Write = 0,
-    /// It may write, and may be run again once the first try is known to be over.
+    /// The request may write, and may be retried once the previous attempt is known
+    /// to be over.
     Idempotent = 1,
-    /// Declared to read only; replicas may serve it and it may be run again.
+    /// Declared read-only: replicas may serve the request and it may be retried.
     Read = 2,
 }
 
-/// One cycle to run.
+/// A request to run.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Run {
     /// Number of the request, unique on the link.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// Number of the caller's session, unique for the front's incarnation.
-    /// Requests of one session run in turn, and a transaction belongs to it.
+    /// Number of the caller's session, unique within the front's incarnation.
+    /// Requests of one session run one after another, and a transaction belongs to
+    /// its session.
     #[prost(uint64, tag = "2")]
     pub caller: u64,
-    /// Service that the caller belongs to.
+    /// Name of the service that the caller belongs to.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// Database group to run on.
+    /// Name of the database group that runs the request.
     #[prost(string, tag = "4")]
     pub group: String,
-    /// How it may be run.
+    /// Class of the request, as a [`Class`].
     #[prost(enumeration = "Class", tag = "5")]
     pub class: i32,
     /// Whether the session holds an open transaction at this keeper.
     #[prost(bool, tag = "6")]
     pub in_transaction: bool,
-    /// What the session has written or seen; reads must show it.
+    /// Last mark that the session has written or read; reads must include it.
     #[prost(message, optional, tag = "7")]
     pub floor: Option<Mark>,
-    /// Whether reads must show all that was acknowledged before this request
-    /// came: a session without a floor, or a read that accepts no age.
+    /// Whether reads must include everything that was acknowledged before this
+    /// request arrived: set for a session without a floor and for a read that accepts
+    /// no staleness.
     #[prost(bool, tag = "8")]
     pub fresh: bool,
-    /// Age in milliseconds that a read accepts, where `fresh` is not set.
+    /// Staleness in milliseconds that a read accepts, unless `fresh` is set.
     #[prost(uint64, tag = "9")]
     pub age_ms: u64,
-    /// Time in milliseconds that a read may wait for a replica.
+    /// Time in milliseconds for which a read may wait for a replica.
     #[prost(uint64, tag = "10")]
     pub patience_ms: u64,
-    /// Time in milliseconds that is left before the caller's deadline.
+    /// Time in milliseconds left before the caller's deadline.
     #[prost(uint64, tag = "11")]
     pub deadline_ms: u64,
-    /// Client messages, as the backend server is to get them.
+    /// Client messages, in the form in which the backend server receives them.
     #[prost(bytes = "bytes", tag = "12")]
     pub payload: bytes::Bytes,
-    /// Bytes of answer that may be sent before a [`Credit`].
+    /// Number of answer bytes that the keeper may send before a [`Credit`].
     #[prost(uint64, tag = "13")]
     pub window: u64,
     /// Version of the configuration that admitted the request.
     #[prost(uint64, tag = "14")]
     pub version: u64,
-    /// The request's id in logs.
+    /// Trace id of the request in logs.
     #[prost(string, tag = "15")]
     pub trace: String,
-    /// Whether the payload ends a transaction (COMMIT, END) or may do so.
+    /// Whether the payload ends a transaction (COMMIT, END) or may end one.
     #[prost(bool, tag = "16")]
     pub commits: bool,
 }
 
-/// Allows more of an answer.
+/// Flow control: allows the keeper to send more of an answer.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Credit {
     /// Number of the request.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// Bytes more that may be sent.
+    /// Number of additional answer bytes that may be sent.
     #[prost(uint64, tag = "2")]
     pub bytes: u64,
 }
@@ -139,12 +143,13 @@
     pub caller: u64,
 }
 
-/// Ends a front's use of the link, but for open transactions. It answers a
-/// [`Closing`] too: nothing new follows it.
+/// Announces that the front starts no new transactions on this link; only requests
+/// of open transactions follow. A front sends this message when it stops and as the
+/// answer to [`Closing`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Shutdown {}
 
-/// What a keeper sends.
+/// A message from a keeper to a front.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Answer {
     /// The message.
@@ -152,9 +157,9 @@
     pub body: Option<answer::Body>,
 }
 
-/// The kinds of [`Answer`].
+/// Message kinds of [`Answer`].
 pub mod answer {
-    /// One of a keeper's messages.
+    /// Body of a message from a keeper.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
         /// A part of an answer.
@@ -163,124 +168,126 @@
         /// The end of an answer.
         #[prost(message, tag = "2")]
         End(super::End),
-        /// The keeper is stopping: ask the other one for what is new.
+        /// Announces that the keeper is stopping; new requests must go to another
+        /// keeper.
         #[prost(message, tag = "3")]
         Closing(super::Closing),
-        /// Answers a ping.
+        /// Answer to a ping.
         #[prost(message, tag = "4")]
         Pong(super::Pong),
     }
 }
 
-/// A part of an answer: whole server messages.
+/// A part of an answer, made of complete server messages.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Part {
     /// Number of the request.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// Number of the part, from zero; a gap or repeat fails the request.
+    /// Sequence number of the part, from zero; a gap or duplicate fails the request.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Server messages without the closing ReadyForQuery.
+    /// Server messages without the final ReadyForQuery.
     #[prost(bytes = "bytes", tag = "3")]
     pub payload: bytes::Bytes,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Outcome {
-    /// Never given; stands for a value that this release does not know.
+    /// Outcome that this release does not know; never sent.
     Missing = 0,
-    /// It ran, and what it committed is acknowledged by a majority. A failed
-    /// statement is done too: the server's own error is in the answer.
+    /// The request ran, and its commit, if any, is acknowledged by a majority. A
+    /// request whose statement failed is done too: the answer contains the server's
+    /// error.
     Done = 1,
-    /// It was not run, or all of its work is proved to be undone.
+    /// The request did not run, or all its effects are known to be undone.
     NotRun = 2,
-    /// It may have run.
+    /// The request may have run.
     Unknown = 3,
 }
 
-/// Why a request was not run or its outcome is unknown.
+/// Reason for which a request was not run or its outcome is unknown.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Reason {
-    /// No reason is needed.
+    /// No reason: the request is done.
     None = 0,
-    /// The queue of the service is full.
+    /// The service's queue is full.
     QueueFull = 1,
-    /// The deadline would pass before it could run.
+    /// The deadline would pass before the request could run.
     Deadline = 2,
-    /// This entry does not keep the group.
+    /// This entry is not a keeper of the group.
     WrongKeeper = 3,
-    /// The process is stopping.
+    /// The entry is stopping.
     Closing = 4,
-    /// The entry has lost touch with control.
+    /// The entry's lease has expired because it lost contact with control.
     Lease = 5,
-    /// No server of the group can be used.
+    /// No server of the group is available.
     Unavailable = 6,
     /// The primary was replaced before the commit was acknowledged.
     Replaced = 7,
     /// The connection to the backend server broke.
     Broken = 8,
-    /// The transaction that the request belongs to is gone.
+    /// The transaction of the request no longer exists.
     TransactionGone = 9,
-    /// No selector lets the service reach the group.
+    /// No selector allows the service to use the group.
     Refused = 10,
-    /// The answer outgrew what may be held back.
+    /// The answer exceeds the size that may be held back.
     TooLarge = 11,
-    /// The caller cancelled it.
+    /// The caller cancelled the request.
     Cancelled = 12,
-    /// The service spent its retries.
+    /// The service's retry budget is exhausted.
     RetryBudget = 13,
 }
 
-/// The end of an answer. Nothing of a request follows it.
+/// The end of an answer, which is the last message of a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct End {
     /// Number of the request.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// Number of parts that came before.
+    /// Number of parts sent before.
     #[prost(uint64, tag = "2")]
     pub parts: u64,
-    /// How it ended.
+    /// Outcome of the request, as an [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "3")]
     pub outcome: i32,
-    /// Why, when it was not done.
+    /// Reason, as a [`Reason`], when the request is not done.
     #[prost(enumeration = "Reason", tag = "4")]
     pub reason: i32,
-    /// Transaction status from ReadyForQuery, as its ASCII byte: I, T or E.
+    /// Transaction status from ReadyForQuery, as an ASCII byte: I, T or E.
     #[prost(uint32, tag = "5")]
     pub status: u32,
-    /// What the session has now written or seen in this group.
+    /// Last mark that the session has now written or read in this group.
     #[prost(message, optional, tag = "6")]
     pub mark: Option<Mark>,
-    /// Whether a replica served it.
+    /// Whether a replica served the request.
     #[prost(bool, tag = "7")]
     pub replica: bool,
-    /// Time in milliseconds after which it is worth asking again.
+    /// Time in milliseconds after which the request should be retried.
     #[prost(uint64, tag = "8")]
     pub retry_after_ms: u64,
-    /// Server that ran it, if one did.
+    /// Name of the server that ran the request; empty if none did.
     #[prost(string, tag = "9")]
     pub server: String,
 }
 
-/// Asks whether a keeper lives, while it leaves requests without an answer.
+/// Checks that a keeper is alive while requests are unanswered.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Ping {}
 
-/// A keeper that lives.
+/// Confirms that a keeper is alive.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Pong {}
 
-/// A keeper that is stopping.
+/// Announces that a keeper is stopping.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Closing {}
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,16 +1,17 @@
-//! Messages between the system's own processes, and the common settings of
-//! their encoding.
+//! Messages between the processes of the system, and their encoding.
 //!
-//! Messages are `prost` structs by derive, so no generator is needed and a
-//! field that one side does not know is passed over: processes of two
-//! neighbouring releases work together.
+//! Messages are structs that derive `prost::Message`, so no code generator is
+//! needed. A receiver skips fields that it does not know, so processes of two
+//! consecutive releases work together.
 //!
-//! - [`data`]: a front asks a keeper to run statements.
-//! - [`control`]: an entry follows the control log and renews its leases.
+//! - [`data`]: requests of a front to a keeper.
+//! - [`control`]: control log and lease renewal, between an entry and a control
+//!   member.
 //! - [`log`]: commands of the control log.
-//! - [`pack`]: long texts, deflated.
-//! - [`plain`]: plain statements as they travel through [`data`].
-//! - [`quorum`]: control members among themselves.
+//! - [`mark`]: log marks.
+//! - [`pack`]: compression of long texts.
+//! - [`plain`]: payload of [`data`] requests in the plain protocol.
+//! - [`quorum`]: consensus between control members.
 
 pub mod control;
 pub mod data;
--- a/components/wire/src/log.rs
+++ b/components/wire/src/log.rs
@@ -1,29 +1,29 @@
 //! Commands of the control log.
 //!
-//! Members apply them once committed, and entries follow the same log, so that
-//! both hold the same state by the same code. Everything here is decided:
-//! applying a command asks no clock and no other host.
+//! Members apply commands once committed, and entries follow the same log and apply
+//! them by the same code, so that both hold the same state. Applying a command is
+//! deterministic: the result depends on no clock and no other host.
 
 use crate::mark::Mark;
 use crate::pack;
 
-/// One entry of the control log.
+/// A command of the control log.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Command {
-    /// The command.
+    /// Body of the command.
     #[prost(oneof = "command::Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11")]
     pub body: Option<command::Body>,
 }
 
-/// The kinds of [`Command`].
+/// Command kinds of [`Command`].
 pub mod command {
-    /// One command.
+    /// Body of a command.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
-        /// Replace the declarations.
+        /// Changes the declarations.
         #[prost(message, tag = "1")]
         Configure(super::Configure),
-        /// A backend server announced something new of itself.
+        /// A backend server announced a change of its description.
         #[prost(message, tag = "2")]
         Announce(super::Announce),
         /// A backend server stopped announcing itself.
@@ -32,65 +32,65 @@
         /// An entry started.
         #[prost(message, tag = "4")]
         Join(super::Join),
-        /// An entry left, or its lease ran out.
+        /// An entry stopped, or its lease expired.
         #[prost(message, tag = "5")]
         Leave(super::Leave),
-        /// Shares of a group's connections are granted or taken back.
+        /// Shares of a group's connections are granted or revoked.
         #[prost(message, tag = "6")]
         Assign(super::Assign),
         /// A failover begins.
         #[prost(message, tag = "7")]
         Intend(super::Intend),
-        /// The new primary is chosen, after a majority was fenced.
+        /// The new primary is chosen, after a majority of the servers was fenced.
         #[prost(message, tag = "8")]
         Choose(super::Choose),
-        /// A majority of the group has followed the new primary.
+        /// A majority of the group follows the new primary.
         #[prost(message, tag = "9")]
         Establish(super::Establish),
         /// An operator drains or resumes an entry.
         #[prost(message, tag = "10")]
         Drain(super::Drain),
-        /// Replace the declarations by a whole edition.
+        /// Replaces the declarations by a complete edition.
         #[prost(message, tag = "11")]
         Replace(super::Replace),
     }
 }
 
-/// Replaces the declarations.
+/// Changes the declarations, if the change is based on the current version.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Configure {
-    /// Id of the change, chosen by who asks; a repeat gets the first answer.
+    /// Id of the change, chosen by the client; a retry with the same id gets the
+    /// first answer.
     #[prost(string, tag = "1")]
     pub change: String,
-    /// Version of the configuration that the change starts from.
+    /// Version of the configuration that the change is based on.
     #[prost(uint64, tag = "2")]
     pub base: u64,
-    /// The whole declarations, as one canonical text; empty where a patch is
-    /// given.
+    /// Complete declarations as one canonical text; empty if a patch is given.
     #[prost(string, tag = "3")]
     pub content: String,
-    /// The text of a patch on the base.
+    /// Text of a patch to the base version.
     #[prost(string, tag = "4")]
     pub patch: String,
 }
 
-/// Replaces the declarations by a whole edition, if that is the newest.
+/// Replaces the declarations by a complete edition, if that edition is the newest.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Replace {
-    /// Number of the edition, chosen by who sends it; the highest is in force.
+    /// Number of the edition, chosen by the client; the highest number takes effect.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
-    /// The whole declarations, as one canonical text, packed.
+    /// Complete declarations as one canonical text, compressed by [`pack`].
     #[prost(bytes = "bytes", tag = "4")]
     pub content: bytes::Bytes,
-    /// The document that they were read from, to be shown as it came, packed.
-    /// Entries don't get it.
+    /// Original document of the declarations, compressed by [`pack`], which is shown
+    /// to clients unchanged and not sent to entries.
     #[prost(bytes = "bytes", tag = "5")]
     pub document: bytes::Bytes,
 }
 
 impl Replace {
-    /// Packs an edition.
+    /// Creates the command for an edition and compresses both texts.
     pub fn new(edition: u64, content: &str, document: &[u8]) -> Self {
         Self { edition, content: pack::pack(content.as_bytes()), document: pack::pack(document) }
     }
@@ -107,97 +107,100 @@
     pub value: String,
 }
 
-/// A backend server as it announced itself.
+/// The description of a backend server, as the server announced it.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Announce {
-    /// The server's name.
+    /// Name of the server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Raised by each start of the server; a higher one replaces a lower one.
+    /// Incarnation of the server, raised by each start of it; a higher incarnation
+    /// replaces a lower one.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Group that it belongs to.
+    /// Name of the group that the server belongs to.
     #[prost(string, tag = "3")]
     pub group: String,
-    /// IP number and port for statements.
+    /// IP address and port for statements.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Availability zone.
+    /// Availability zone of the server.
     #[prost(string, tag = "5")]
     pub zone: String,
-    /// Labels, sorted by key.
+    /// Labels of the server, sorted by key.
     #[prost(message, repeated, tag = "6")]
     pub labels: Vec<Label>,
-    /// Connections that it accepts in all.
+    /// Maximum number of connections that the server accepts.
     #[prost(uint32, tag = "7")]
     pub connections: u32,
-    /// Statements that it runs at once.
+    /// Maximum number of statements that the server runs concurrently.
     #[prost(uint32, tag = "8")]
     pub slots: u32,
-    /// Whether it is leaving and must get no new work.
+    /// Whether the server is leaving and must receive no new work.
     #[prost(bool, tag = "9")]
     pub leaving: bool,
-    /// Whether it takes itself for the primary of its group, where it tells.
+    /// Whether the server considers itself the primary of its group; false if the
+    /// server doesn't report this.
     #[prost(bool, tag = "10")]
     pub primary: bool,
-    /// Number of the announcement within the incarnation, where it tells; a
-    /// lower one is late.
+    /// Sequence number of the announcement within the incarnation, or zero if the
+    /// server doesn't report one; an announcement with a lower number is outdated.
     #[prost(uint64, tag = "11")]
     pub sequence: u64,
 }
 
-/// A backend server that is gone.
+/// Removes a backend server that is gone.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Expire {
-    /// The server's name.
+    /// Name of the server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Incarnation that is gone; a later one stays.
+    /// Incarnation that is gone; a later incarnation is kept.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Whether it said that it is gone for good, and loses its seat.
+    /// Whether the server announced that it is gone permanently, and so loses its
+    /// seat in the group.
     #[prost(bool, tag = "3")]
     pub left: bool,
 }
 
-/// An entry that started.
+/// The description of an entry, sent when the entry starts.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Join {
-    /// The entry's name.
+    /// Name of the entry.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// Raised by each start of the entry.
+    /// Incarnation of the entry, raised by each start of it.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// IP number and port of its keeper.
+    /// IP address and port of the entry's keeper.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Availability zone.
+    /// Availability zone of the entry.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// IP number and port of its web server; empty when it told none.
+    /// IP address and port of the entry's web server; empty if not reported.
     #[prost(string, tag = "5")]
     pub web: String,
-    /// Whether its host starts an entry only after the earlier one has ended, so
-    /// that its earlier incarnations are known to be gone.
+    /// Whether the host starts an entry only after the previous process has ended, so
+    /// that earlier incarnations of the entry are known to be gone.
     #[prost(bool, tag = "6")]
     pub sole: bool,
-    /// How much its host can carry beside others; zero counts as one.
+    /// Capacity of the entry's host relative to that of others; zero counts as one.
     #[prost(uint32, tag = "7")]
     pub weight: u32,
 }
 
-/// An entry that is gone.
+/// Removes an entry that is gone.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Leave {
-    /// The entry's name.
+    /// Name of the entry.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// Incarnation that is gone; a later one stays.
+    /// Incarnation that is gone; a later incarnation is kept.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Whether its lease is over for certain: it left, its process has ended, or
-    /// enough time has passed.
+    /// Whether the entry's lease is certainly over: the entry has left, its process
+    /// has ended, or enough time has passed.
     #[prost(bool, tag = "3")]
     pub over: bool,
 }
@@ -205,13 +208,13 @@
 /// An entry's share of one server.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Share {
-    /// The server's name.
+    /// Name of the server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Connections that the entry may hold.
+    /// Maximum number of connections that the entry may hold.
     #[prost(uint32, tag = "2")]
     pub connections: u32,
-    /// Statements that the entry may run at once.
+    /// Maximum number of statements that the entry may run concurrently.
     #[prost(uint32, tag = "3")]
     pub slots: u32,
 }
@@ -219,84 +222,86 @@
 /// An entry's lease on one group.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Lease {
-    /// The entry's name.
+    /// Name of the entry.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// Incarnation of the entry that holds it.
+    /// Incarnation of the entry that holds the lease.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Shares, by server.
+    /// Shares of the entry, one for each server.
     #[prost(message, repeated, tag = "3")]
     pub shares: Vec<Share>,
-    /// Whether it is being taken back: the entry finishes what runs, takes
-    /// nothing new, and gives the connections up.
+    /// Whether the lease is being revoked: the entry finishes running requests,
+    /// accepts no new ones, and closes its connections.
     #[prost(bool, tag = "4")]
     pub returning: bool,
 }
 
-/// All leases on one group.
+/// Sets all leases on one group.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Assign {
-    /// The group.
+    /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// Generation that the planner started from; an older one is refused.
+    /// Generation of the group that the assignment is based on; an assignment based on
+    /// an outdated generation is refused.
     #[prost(uint64, tag = "2")]
     pub base: u64,
-    /// Leases, by entry.
+    /// Leases on the group, one for each entry.
     #[prost(message, repeated, tag = "3")]
     pub leases: Vec<Lease>,
 }
 
-/// A failover that begins.
+/// Begins a failover.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Intend {
-    /// The group.
+    /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// Term to fence at; it must pass each earlier term of the group.
+    /// Term to fence at, which must be higher than all earlier terms of the group.
     #[prost(uint64, tag = "2")]
     pub term: u64,
 }
 
-/// The choice of a new primary.
+/// Records the choice of a new primary.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Choose {
-    /// The group.
+    /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// The intended term.
+    /// Intended term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Server to promote.
+    /// Name of the server to promote.
     #[prost(string, tag = "3")]
     pub server: String,
-    /// Last record of the server's log when it was fenced.
+    /// Mark of the last record in the server's log when the server was fenced.
     #[prost(message, optional, tag = "4")]
     pub start: Option<Mark>,
 }
 
-/// A primary that a majority follows.
+/// Records that a majority of a group follows the new primary.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Establish {
-    /// The group.
+    /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// Term that is established.
+    /// Established term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// The primary of that term.
+    /// Name of the primary of that term.
     #[prost(string, tag = "3")]
     pub server: String,
 }
 
-/// An operator's wish for an entry.
+/// Drains or resumes an entry at an operator's request.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Drain {
-    /// The entry's name.
+    /// Name of the entry.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// Whether it is to keep no groups and take no callers.
+    /// Whether the entry is drained: an entry that holds no leases and accepts no
+    /// callers.
     #[prost(bool, tag = "2")]
     pub on: bool,
 }
--- a/components/wire/src/mark.rs
+++ b/components/wire/src/mark.rs
@@ -1,8 +1,8 @@
-//! Marks as they cross between processes.
+//! Log marks in messages.
 
 use base::mark;
 
-/// A position within a term.
+/// A log mark: the term and position of a record.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Mark {
     /// Term of the record.
--- a/components/wire/src/pack.rs
+++ b/components/wire/src/pack.rs
@@ -1,8 +1,8 @@
-//! Long texts, deflated.
+//! Compression of long texts with zlib.
 //!
-//! Declarations of some thousand databases are a text of a megabyte and more,
-//! and each entry gets it. Deflated it is a tenth of that or less, so that a
-//! change reaches hosts on small links within their leases.
+//! The declarations of some thousand databases are a text of a megabyte or more,
+//! which every entry receives. Compressed to a tenth of that or less, a change
+//! reaches hosts on slow links before their leases expire.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -13,10 +13,10 @@
 use flate2::read::ZlibDecoder;
 use flate2::write::ZlibEncoder;
 
-/// Longest text in bytes.
+/// Maximum length of an uncompressed text, in bytes.
 pub const MAX_BYTES: u64 = 64 << 20;
 
-/// Bytes that are no deflated text, or one that is too long.
+/// Error: bytes are not a compressed text, or the text exceeds [`MAX_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -28,14 +28,14 @@
 
 impl std::error::Error for Malformed {}
 
-/// Deflates a text.
+/// Compresses a text.
 pub fn pack(text: &[u8]) -> Bytes {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
     let packed = encoder.write_all(text).and_then(|()| encoder.finish());
-    packed.expect("a vector takes all that is written").into()
+    packed.expect("writing to a vector can't fail").into()
 }
 
-/// Inflates it again. Nothing gives nothing.
+/// Decompresses a text. An empty input gives an empty text.
 ///
 /// # Errors
 /// [`Malformed`].
@@ -52,10 +52,10 @@
     Ok(text)
 }
 
-/// Inflates what is UTF-8.
+/// Decompresses a UTF-8 text.
 ///
 /// # Errors
-/// [`Malformed`].
+/// [`Malformed`], also when the text is not UTF-8.
 pub fn unpack_text(packed: &[u8]) -> Result<String, Report<Malformed>> {
     String::from_utf8(unpack(packed)?).change_context(Malformed)
 }
--- a/components/wire/src/plain.rs
+++ b/components/wire/src/plain.rs
@@ -1,75 +1,75 @@
-//! Plain statements as they travel between a front and a keeper, in the
-//! payload of a [`crate::data::Run`] and of a [`crate::data::Part`].
+//! Statements of the plain protocol, which a front and a keeper exchange in the
+//! payload of [`crate::data::Run`] and [`crate::data::Part`].
 
 use bytes::Bytes;
 
-/// One statement, and the state of its session that it needs.
+/// A statement and the session state that it needs.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Task {
-    /// The caller's id of it, passed on as it came.
+    /// Statement id chosen by the caller, passed on unchanged.
     #[prost(bytes = "bytes", tag = "1")]
     pub id: Bytes,
-    /// Text of the statement, passed on as it came; empty where `execute` is set.
+    /// Text of the statement, passed on unchanged; empty if `execute` is set.
     #[prost(bytes = "bytes", tag = "2")]
     pub text: Bytes,
-    /// A prepared statement to execute in place of a text.
+    /// Prepared statement to execute instead of a text.
     #[prost(message, optional, tag = "3")]
     pub execute: Option<Execute>,
-    /// Values of the session, by name.
+    /// Session values, by name.
     #[prost(message, repeated, tag = "4")]
     pub values: Vec<Value>,
-    /// Whether a transaction is to be begun before the statement.
+    /// Transaction to begin before the statement, as a [`Begin`].
     #[prost(enumeration = "Begin", tag = "5")]
     pub begin: i32,
 }
 
-/// How a transaction is begun.
+/// Kind of transaction to begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Begin {
-    /// None is begun.
+    /// No transaction is begun.
     None = 0,
-    /// It may write.
+    /// Transaction that may write.
     Write = 1,
-    /// It only reads.
+    /// Read-only transaction.
     Read = 2,
 }
 
 /// A prepared statement with its arguments.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Execute {
-    /// Whether it writes.
+    /// Whether the statement writes.
     #[prost(bool, tag = "1")]
     pub writes: bool,
-    /// What was prepared; statements of one shape are the same.
+    /// Definition of the prepared statement; equal shapes mean the same statement.
     #[prost(bytes = "bytes", tag = "2")]
     pub shape: Bytes,
-    /// Arguments, passed on as they came.
+    /// Arguments, passed on unchanged.
     #[prost(bytes = "bytes", tag = "3")]
     pub arguments: Bytes,
 }
 
-/// A value that a session has set.
+/// A value set in a session.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Message)]
 pub struct Value {
-    /// Its name.
+    /// Name of the value.
     #[prost(bytes = "bytes", tag = "1")]
     pub name: Bytes,
-    /// The value.
+    /// Value set under that name.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: Bytes,
 }
 
-/// The whole answer to a task.
+/// The complete answer to a [`Task`].
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Reply {
-    /// Rows, as they came.
+    /// Rows, as the server sent them.
     #[prost(bytes = "bytes", repeated, tag = "1")]
     pub rows: Vec<Bytes>,
-    /// What the server closed a success with, as it came.
+    /// Final message of the server after a success, as the server sent it.
     #[prost(bytes = "bytes", optional, tag = "2")]
     pub complete: Option<Bytes>,
-    /// The server's error, as it came; set where `complete` is not.
+    /// Error of the server, as the server sent it; set if `complete` is not.
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub error: Option<Bytes>,
 }
--- a/components/wire/src/quorum.rs
+++ b/components/wire/src/quorum.rs
@@ -1,8 +1,8 @@
-//! Control members among themselves.
+//! Consensus messages between control members.
 //!
-//! A link between members carries [`Hello`] once in each direction and then
-//! [`Message`]s from the end that dialled. Loss, repetition and reordering of
-//! messages are harmless.
+//! A link between members carries one [`Hello`] in each direction and then
+//! [`Message`]s from the dialer. Loss, duplication and reordering of messages are
+//! harmless.
 
 use bytes::Bytes;
 
@@ -12,16 +12,17 @@
 /// The first message of each end of a link.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Hello {
-    /// The member as it knows itself.
+    /// Description of the sender.
     #[prost(message, optional, tag = "1")]
     pub member: Option<Member>,
-    /// Whether it has no log and no membership yet.
+    /// Whether the sender has no log and no membership yet.
     #[prost(bool, tag = "2")]
     pub fresh: bool,
-    /// Whether it knows no leader and asks to be a member.
+    /// Whether the sender knows no leader and asks to become a member.
     #[prost(bool, tag = "3")]
     pub asks: bool,
-    /// Whether it says that messages come, as long as some do.
+    /// Whether the sender confirms received messages, by an empty `Hello` from time to
+    /// time.
     #[prost(bool, tag = "4")]
     pub confirms: bool,
 }
@@ -29,30 +30,31 @@
 /// A member of the quorum.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Member {
-    /// Identity, drawn at random with the data folder.
+    /// Random id, generated together with the data folder.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Name of the host.
+    /// Name of the member's host.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// IP number and port for links.
+    /// IP address and port for links.
     #[prost(string, tag = "3")]
     pub link: String,
-    /// IP number and port for HTTP.
+    /// IP address and port for HTTP.
     #[prost(string, tag = "4")]
     pub web: String,
-    /// Whether it counts for the quorum; a learner only copies.
+    /// Whether the member is a voter, which counts for the quorum; a learner only
+    /// replicates the log.
     #[prost(bool, tag = "5")]
     pub voter: bool,
-    /// Where it publishes beacons, in its own [`Hello`] only.
+    /// Address on which the member publishes beacons, in its own [`Hello`] only.
     #[prost(string, tag = "6")]
     pub beacon: String,
 }
 
-/// The whole membership.
+/// The membership of the quorum.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Members {
-    /// Members, in the order they came.
+    /// Members, in the order in which they were added.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<Member>,
 }
@@ -60,32 +62,32 @@
 /// An entry of the log.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Entry {
-    /// Its index; the first is one.
+    /// Index of the entry; the first index is one.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Term of the leader that wrote it.
+    /// Term of the leader that wrote the entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Member that proposed it; zero for none.
+    /// Id of the member that proposed the entry; zero for none.
     #[prost(uint64, tag = "3")]
     pub origin: u64,
     /// Number of the proposal at that member.
     #[prost(uint64, tag = "4")]
     pub token: u64,
-    /// What it says; none for the mark that a new leader writes.
+    /// Content of the entry; none for the first entry that a new leader writes.
     #[prost(oneof = "entry::Body", tags = "5, 6")]
     pub body: Option<entry::Body>,
 }
 
-/// The kinds of [`Entry`].
+/// Content kinds of [`Entry`].
 pub mod entry {
-    /// What an entry says.
+    /// Content of an entry.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
         /// An encoded command.
         #[prost(bytes = "bytes", tag = "5")]
         Command(bytes::Bytes),
-        /// The membership from here on.
+        /// The membership from this entry on.
         #[prost(message, tag = "6")]
         Members(super::Members),
     }
@@ -94,80 +96,80 @@
 /// A message from one member to another.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
-    /// Sender.
+    /// Id of the sender.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// Receiver; another one drops it.
+    /// Id of the receiver; any other member drops the message.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// Term of the sender; of a pre-vote, the term that it asks for.
+    /// Term of the sender; for a pre-vote, the term of the proposed election.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// The message.
+    /// Body of the message.
     #[prost(oneof = "message::Body", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17")]
     pub body: Option<message::Body>,
 }
 
-/// The kinds of [`Message`].
+/// Message kinds of [`Message`].
 pub mod message {
-    /// One message.
+    /// Body of a message.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
-        /// Asks whether a vote would be given.
+        /// Asks whether the receiver would grant its vote.
         #[prost(message, tag = "4")]
         PreVote(super::Vote),
-        /// Answers that.
+        /// Answer to [`Body::PreVote`].
         #[prost(message, tag = "5")]
         PreVoted(super::Voted),
         /// Asks for a vote.
         #[prost(message, tag = "6")]
         Vote(super::Vote),
-        /// Answers that.
+        /// Answer to [`Body::Vote`].
         #[prost(message, tag = "7")]
         Voted(super::Voted),
-        /// Entries from the leader, or none as a heartbeat.
+        /// Entries from the leader; a heartbeat has none.
         #[prost(message, tag = "8")]
         Append(super::Append),
-        /// Answers that.
+        /// Answer to [`Body::Append`].
         #[prost(message, tag = "9")]
         Appended(super::Appended),
-        /// A piece of a snapshot.
+        /// A piece of a snapshot from the leader.
         #[prost(message, tag = "10")]
         Install(super::Install),
-        /// Answers that.
+        /// Answer to [`Body::Install`].
         #[prost(message, tag = "11")]
         Installed(super::Installed),
-        /// The receiver is to campaign at once.
+        /// Tells the receiver to campaign at once.
         #[prost(message, tag = "12")]
         Campaign(super::Campaign),
         /// Asks the leader for a confirmed read.
         #[prost(message, tag = "13")]
         Read(super::Read),
-        /// Answers that.
+        /// Answer to [`Body::Read`].
         #[prost(message, tag = "14")]
         Confirmed(super::Confirmed),
-        /// Passes a proposal on to the leader.
+        /// Forwards a proposal to the leader.
         #[prost(message, tag = "15")]
         Propose(super::Propose),
-        /// The leader refuses a change of membership.
+        /// Refusal of a membership change by the leader.
         #[prost(message, tag = "16")]
         Refused(super::Refused),
-        /// What entries and backend servers told a member, for the leader.
+        /// Forwards reports of entries and backend servers to the leader.
         #[prost(message, tag = "17")]
         Forward(super::Forward),
     }
 }
 
-/// A candidate's log.
+/// A candidate's request for a vote or pre-vote.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Vote {
-    /// Index of its last entry.
+    /// Index of the last entry in the candidate's log.
     #[prost(uint64, tag = "1")]
     pub last_index: u64,
-    /// Term of its last entry.
+    /// Term of the last entry in the candidate's log.
     #[prost(uint64, tag = "2")]
     pub last_term: u64,
-    /// Whether the leader asked it to campaign.
+    /// Whether the leader told the candidate to campaign.
     #[prost(bool, tag = "3")]
     pub transfer: bool,
 }
@@ -175,7 +177,7 @@
 /// An answer to a candidate.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Voted {
-    /// Whether it has the vote.
+    /// Whether the vote is granted.
     #[prost(bool, tag = "1")]
     pub granted: bool,
 }
@@ -183,19 +185,19 @@
 /// Entries from the leader.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Append {
-    /// Index of the entry before the first.
+    /// Index of the log entry before the first of `entries`.
     #[prost(uint64, tag = "1")]
     pub prev_index: u64,
-    /// Term of that entry.
+    /// Term of the log entry at `prev_index`.
     #[prost(uint64, tag = "2")]
     pub prev_term: u64,
     /// Last committed index.
     #[prost(uint64, tag = "3")]
     pub commit: u64,
-    /// Heartbeat round; echoed.
+    /// Heartbeat round, echoed in the answer.
     #[prost(uint64, tag = "4")]
     pub round: u64,
-    /// The entries.
+    /// Entries to append.
     #[prost(message, repeated, tag = "5")]
     pub entries: Vec<Entry>,
 }
@@ -203,36 +205,37 @@
 /// An answer to [`Append`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Appended {
-    /// Whether the entry before the first was found.
+    /// Whether the receiver's log contains the entry at `prev_index` and `prev_term`.
     #[prost(bool, tag = "1")]
     pub matched: bool,
-    /// Last index that is the same and durable; if not matched, where to try.
+    /// If matched, the last index at which both logs agree and that is durable;
+    /// otherwise the index at which the leader should try next.
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// The round.
+    /// Heartbeat round of the [`Append`].
     #[prost(uint64, tag = "3")]
     pub round: u64,
 }
 
-/// A piece of a snapshot.
+/// A piece of a snapshot to install.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Install {
-    /// Index of the last entry in the snapshot.
+    /// Index of the last log entry in the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last log entry in the snapshot.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Membership at that entry.
+    /// Membership at the last log entry in the snapshot.
     #[prost(message, optional, tag = "3")]
     pub members: Option<Members>,
     /// Offset of the piece in bytes.
     #[prost(uint64, tag = "4")]
     pub offset: u64,
-    /// Length of the whole in bytes.
+    /// Length of the whole snapshot in bytes.
     #[prost(uint64, tag = "5")]
     pub length: u64,
-    /// The piece.
+    /// Content of the piece.
     #[prost(bytes = "bytes", tag = "6")]
     pub bytes: Bytes,
 }
@@ -243,10 +246,10 @@
     /// Index of the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Offset that is needed next.
+    /// Offset of the piece that the receiver needs next, in bytes.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Whether the snapshot is in force and durable.
+    /// Whether the snapshot is installed and durable.
     #[prost(bool, tag = "3")]
     pub done: bool,
 }
@@ -255,152 +258,154 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Campaign {}
 
-/// Asks the leader for a confirmed read on behalf of all that wait.
+/// Asks the leader for a confirmed read on behalf of all waiting reads of a member.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Read {
-    /// Number of the batch.
+    /// Number of the batch of reads at the sender.
     #[prost(uint64, tag = "1")]
     pub batch: u64,
-    /// What the leader must have heard before it confirms.
+    /// Encoded notes, such as a [`Heartbeat`], that the leader must process before it
+    /// confirms the batch.
     #[prost(bytes = "bytes", repeated, tag = "2")]
     pub notes: Vec<Bytes>,
 }
 
-/// A confirmed read.
+/// Confirms a batch of reads.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Confirmed {
-    /// Number of the batch.
+    /// Number of the batch of reads.
     #[prost(uint64, tag = "1")]
     pub batch: u64,
-    /// Index that was committed when the read began.
+    /// Index that was committed when the reads began.
     #[prost(uint64, tag = "2")]
     pub index: u64,
 }
 
-/// A proposal on its way to the leader.
+/// A proposal forwarded to the leader.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Propose {
     /// Number of the proposal at the sender.
     #[prost(uint64, tag = "1")]
     pub token: u64,
-    /// What is proposed.
+    /// Content of the proposal.
     #[prost(oneof = "propose::Body", tags = "2, 3, 4")]
     pub body: Option<propose::Body>,
 }
 
-/// The kinds of [`Propose`].
+/// Content kinds of [`Propose`].
 pub mod propose {
-    /// What is proposed.
+    /// Content of a proposal.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
         /// An encoded command.
         #[prost(bytes = "bytes", tag = "2")]
         Command(bytes::Bytes),
-        /// Add a member: it learns, then votes.
+        /// Adds a member, first as a learner and then as a voter.
         #[prost(message, tag = "3")]
         Add(super::Member),
-        /// Remove the member with this id.
+        /// Removes the member with this id.
         #[prost(uint64, tag = "4")]
         Remove(u64),
     }
 }
 
-/// Why a change of membership is refused.
+/// Reason for which a membership change is refused.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Refusal {
-    /// Stands for a reason that this release does not know.
+    /// Reason that this release does not know.
     Other = 0,
-    /// Another change is not committed yet.
+    /// Another membership change is not committed yet.
     Busy = 1,
-    /// The leader has committed nothing in its own term yet.
+    /// The leader has committed no entry of its own term yet.
     Early = 2,
-    /// It is a member already.
+    /// The host to add is already a member.
     Known = 3,
-    /// It is no member.
+    /// The host to remove is not a member.
     Unknown = 4,
-    /// The last voter stays.
+    /// The member to remove is the last voter.
     Last = 5,
-    /// The voters that would be left and are heard are no quorum.
+    /// The remaining voters that are reachable would not form a quorum.
     Quorum = 6,
 }
 
-/// A refused change of membership.
+/// Refusal of a membership change.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Refused {
     /// Number of the proposal.
     #[prost(uint64, tag = "1")]
     pub token: u64,
-    /// Why.
+    /// Reason, as a [`Refusal`].
     #[prost(enumeration = "Refusal", tag = "2")]
     pub refusal: i32,
 }
 
-/// What entries and backend servers told a member, for the leader. Each part
-/// is told again by its source, so that loss is harmless.
+/// Reports of entries and backend servers that a member forwards to the leader. The
+/// source of each report repeats it, so a lost message is harmless.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Forward {
     /// Announcements of backend servers.
     #[prost(message, repeated, tag = "1")]
     pub announces: Vec<Announce>,
-    /// Entries that left.
+    /// Entries that have stopped.
     #[prost(message, repeated, tag = "2")]
     pub leaves: Vec<Leave>,
-    /// What keepers see.
+    /// Conditions of primaries that keepers observe.
     #[prost(message, repeated, tag = "3")]
     pub symptoms: Vec<Observed>,
-    /// Keepers that ended their work for an earlier primary.
+    /// Seals of keepers that have ended their work for an earlier primary.
     #[prost(message, repeated, tag = "4")]
     pub seals: Vec<Sealed>,
-    /// Hosts that ask to be members.
+    /// Hosts that ask to become members.
     #[prost(message, repeated, tag = "5")]
     pub newcomers: Vec<Member>,
 }
 
-/// A seal and whose it is.
+/// A seal and the entry that sent it.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Sealed {
-    /// The entry.
+    /// Name of the entry.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// Its incarnation.
+    /// Incarnation of the entry.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The seal.
+    /// Seal of the entry's keeper.
     #[prost(message, optional, tag = "3")]
     pub seal: Option<Seal>,
 }
 
-/// A symptom and who saw it.
+/// A symptom and the entry that observed it.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Observed {
-    /// The entry.
+    /// Name of the entry.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// What it saw.
+    /// Symptom observed by the entry's keeper.
     #[prost(message, optional, tag = "2")]
     pub symptom: Option<Symptom>,
 }
 
-/// A beat of an entry, as the leader must hear of it before it is confirmed.
+/// A heartbeat of an entry, which the leader must process before the heartbeat is
+/// confirmed to the entry.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Heartbeat {
-    /// The entry.
+    /// Description of the entry.
     #[prost(message, optional, tag = "1")]
     pub join: Option<Join>,
     /// Last index that the entry has applied.
     #[prost(uint64, tag = "2")]
     pub applied: u64,
-    /// Groups whose lease it has given up.
+    /// Names of the groups whose lease the entry has released.
     #[prost(string, repeated, tag = "3")]
     pub returned: Vec<String>,
-    /// What it sees at present.
+    /// Symptoms that the entry's keeper observes at present.
     #[prost(message, repeated, tag = "4")]
     pub symptoms: Vec<Symptom>,
-    /// Its newest seal of each group.
+    /// Newest seal of the entry's keeper for each group.
     #[prost(message, repeated, tag = "5")]
     pub seals: Vec<Seal>,
 }
