--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -70,7 +70,7 @@
             Some(Body::Announce(announce)) => self.announce(announce),
             Some(Body::Expire(expire)) => self.expire(expire),
             Some(Body::Join(join)) => self.join(join),
-            Some(Body::Leave(leave)) => self.leave(index, leave),
+            Some(Body::Leave(departure)) => self.leave(index, departure),
             Some(Body::Assign(assign)) => self.assign(index, assign),
             Some(Body::Intend(intend)) => self.intend(intend),
             Some(Body::Choose(choose)) => self.choose(choose),
@@ -286,28 +286,28 @@
 
     /// Ends all leases of the incarnation and of earlier ones, and removes the
     /// entry unless a later incarnation has joined.
-    fn leave(&mut self, index: u64, leave: &log::Leave) -> Result<Outcome, Refusal> {
-        let name = Name::new(&leave.entry).map_err(|_malformed| Refusal::Malformed)?;
-        let start = (name, leave.incarnation);
-        let mut found = leave.over && self.departed.remove(&start).is_some();
+    fn leave(&mut self, index: u64, departure: &log::Leave) -> Result<Outcome, Refusal> {
+        let name = Name::new(&departure.entry).map_err(|_malformed| Refusal::Malformed)?;
+        let start = (name, departure.incarnation);
+        let mut found = departure.over && self.departed.remove(&start).is_some();
         let mut unaware = false;
         for group in self.groups.values_mut() {
             let held = group.leases.len();
             group.leases.retain(|lease| {
-                lease.entry != leave.entry || lease.incarnation > leave.incarnation
+                lease.entry != departure.entry || lease.incarnation > departure.incarnation
             });
             if group.leases.len() < held {
                 group.generation += 1;
                 group.ended_index = index;
-                (found, unaware) = (true, !leave.over);
+                (found, unaware) = (true, !departure.over);
             }
         }
         if unaware {
             self.departed.insert(start, index);
         }
-        let known = self.entries.get(leave.entry.as_str());
-        if known.is_some_and(|entry| entry.incarnation <= leave.incarnation) {
-            self.entries.remove(leave.entry.as_str());
+        let known = self.entries.get(departure.entry.as_str());
+        if known.is_some_and(|entry| entry.incarnation <= departure.incarnation) {
+            self.entries.remove(departure.entry.as_str());
             found = true;
             // a lease proposed for the removed entry must be refused
             self.groups.values_mut().for_each(|group| group.generation += 1);
--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -88,7 +88,7 @@
     Announced(Announce),
     /// An entry sent a heartbeat to renew its leases. The event must be passed
     /// before the heartbeat is confirmed.
-    Beat {
+    Heartbeat {
         /// Name of the entry.
         entry: Name,
         /// Incarnation of the entry.
@@ -255,8 +255,8 @@
                 self.step(now, state, &group, out);
             }
             Event::Announced(announce) => self.renewals.record_announce(now, state, announce, out),
-            Event::Beat { entry, incarnation, applied, returned } => {
-                self.liveness.beat(now, entry.clone(), incarnation, applied);
+            Event::Heartbeat { entry, incarnation, applied, returned } => {
+                self.liveness.record_heartbeat(now, entry.clone(), incarnation, applied);
                 self.planner.record_returned(state, (&entry, incarnation), applied, &returned);
                 if !returned.is_empty() {
                     self.planner.tick(now, state, &self.liveness, out);
--- a/components/control/src/liveness.rs
+++ b/components/control/src/liveness.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records a heartbeat.
-    pub fn beat(&mut self, now: Instant, entry: Name, incarnation: u64, applied: u64) {
+    pub fn record_heartbeat(&mut self, now: Instant, entry: Name, incarnation: u64, applied: u64) {
         let record = self.record(now, entry, incarnation);
         // a heartbeat after the removal renews a lease only once the entry has
         // applied the removal
@@ -141,8 +141,8 @@
             if (silent || record.left) && !waits {
                 record.proposed = Some(now);
                 let over = record.left;
-                let leave = Leave { entry: entry.to_string(), incarnation: *incarnation, over };
-                out.push(Effect::propose(command::Body::Leave(leave)));
+                let departure = Leave { entry: entry.to_string(), incarnation: *incarnation, over };
+                out.push(Effect::propose(command::Body::Leave(departure)));
             }
         }
         self.drop_departed(now, state, out);
--- a/components/control/tests/designation.rs
+++ b/components/control/tests/designation.rs
@@ -41,7 +41,7 @@
     designated: Vec<(Name, u64)>,
     /// Whether designated servers become primary.
     accepts_designation: bool,
-    beats: Vec<(&'static str, u64)>,
+    heartbeats: Vec<(&'static str, u64)>,
     version: u64,
 }
 
@@ -58,7 +58,7 @@
             probes: Vec::new(),
             designated: Vec::new(),
             accepts_designation: true,
-            beats: vec![("e1", 1), ("e2", 1)],
+            heartbeats: vec![("e1", 1), ("e2", 1)],
             version: 0,
         };
         let content = r#"{"groups":{"g":{"servers":15,"acknowledges":true}}}"#;
@@ -179,9 +179,9 @@
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
             self.now += TICK;
-            for (entry, incarnation) in self.beats.clone() {
+            for (entry, incarnation) in self.heartbeats.clone() {
                 let (entry, applied) = (name(entry), self.state.index);
-                self.tell(Event::Beat { entry, incarnation, applied, returned: Vec::new() });
+                self.tell(Event::Heartbeat { entry, incarnation, applied, returned: Vec::new() });
             }
             self.answer();
             self.tell(Event::Tick);
@@ -289,7 +289,7 @@
     world.set("s2", Health::Refusing);
     world.crash();
     world.seal("e1", 100);
-    world.beats = vec![("e1", 1)];
+    world.heartbeats = vec![("e1", 1)];
     // what e2 acknowledged is unknown, and the only replica may lack it
     world.commit(command::Body::Leave(Leave {
         entry: "e2".to_owned(),
@@ -307,7 +307,7 @@
 fn goes_on_without_a_keeper_whose_lease_is_over() {
     let mut world = World::new();
     world.crash();
-    world.beats = vec![("e1", 1)];
+    world.heartbeats = vec![("e1", 1)];
     world.seal("e1", 100);
     world.pass(1_500);
     assert_eq!(world.phase(), Phase::Intended, "the lease of e2 may still be in force");
@@ -319,10 +319,10 @@
 fn a_new_leader_waits_for_a_keeper_that_was_given_up_and_may_not_know_it() {
     let mut world = World::new();
     world.crash();
-    world.beats = vec![("e1", 1)];
+    world.heartbeats = vec![("e1", 1)];
     // the earlier leader removed the entry and may have confirmed a heartbeat since
-    let leave = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Leave(leave));
+    let departure = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(departure));
     world.leader =
         Leader::with_leadership(world.now, Leadership { token: TOKEN + 1, last_chosen: None });
     world.seal("e1", 100);
--- a/components/control/tests/leader.rs
+++ b/components/control/tests/leader.rs
@@ -92,11 +92,11 @@
         }
     }
 
-    fn pass(&mut self, time: Duration, beats: &[(&str, u64)]) {
+    fn pass(&mut self, time: Duration, heartbeats: &[(&str, u64)]) {
         let until = self.now + time;
         while self.now < until {
             self.now += TICK;
-            for (entry, incarnation) in beats {
+            for (entry, incarnation) in heartbeats {
                 let (entry, incarnation) = (name(entry), *incarnation);
                 let applied = self.state.index;
                 let groups = self.state.groups.values();
@@ -104,7 +104,7 @@
                     .filter_map(|group| group.lease(entry.as_str()))
                     .any(|lease| lease.returning && lease.incarnation == incarnation);
                 let returned = if returns { vec![name("g")] } else { Vec::new() };
-                self.tell(Event::Beat { entry, incarnation, applied, returned });
+                self.tell(Event::Heartbeat { entry, incarnation, applied, returned });
             }
             for server in ["s0", "s1", "s2"] {
                 let renewed = self.state.servers[server].slots;
@@ -193,8 +193,8 @@
     let group = &world.state.groups["g"];
     let lease = wire::log::Lease { entry: "e2".to_owned(), incarnation: 1, ..Default::default() };
     let assign = Assign { group: "g".to_owned(), base: group.generation, leases: vec![lease] };
-    let leave = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Leave(leave));
+    let departure = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(departure));
     let outcome = world.commit(command::Body::Assign(assign));
     assert_eq!(outcome, Outcome::Refused(Refusal::Generation));
 }
@@ -228,8 +228,8 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    let leave = Leave { entry: "e1".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Leave(leave));
+    let departure = Leave { entry: "e1".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(departure));
     world.leader = Leader::with_flaw(world.now, flaw);
     world.tell(Event::Joined(join("e2", 1, "a")));
     world.pass(LEASE_DURATION, &[("e2", 1)]);
@@ -258,8 +258,8 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    let leave = Leave { entry: "e1".to_owned(), incarnation: 1, over: true };
-    world.commit(command::Body::Leave(leave));
+    let departure = Leave { entry: "e1".to_owned(), incarnation: 1, over: true };
+    world.commit(command::Body::Leave(departure));
     world.leader = Leader::new(world.now);
     world.tell(Event::Joined(join("e2", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e2", 1)]);
@@ -293,8 +293,8 @@
     for entry in ["strong-1", "strong-2"] {
         world.tell(Event::Joined(weighs(entry, 100)));
     }
-    let beats = [("weak", 1), ("strong-1", 1), ("strong-2", 1)];
-    world.pass(Duration::from_secs(3), &beats);
+    let heartbeats = [("weak", 1), ("strong-1", 1), ("strong-2", 1)];
+    world.pass(Duration::from_secs(3), &heartbeats);
     let leases = &world.state.groups["g"].leases;
     let holders: Vec<_> = leases.iter().map(|lease| lease.entry.as_str()).collect();
     assert_eq!(holders, ["strong-1", "strong-2"]);
--- a/components/control/tests/leases.rs
+++ b/components/control/tests/leases.rs
@@ -43,7 +43,7 @@
 }
 
 enum Action {
-    Beat {
+    Heartbeat {
         epoch: u64,
         entry: usize,
         incarnation: u64,
@@ -200,11 +200,11 @@
 
     fn act(&mut self, u: &mut Unstructured<'_>, action: Action) -> Result<()> {
         match action {
-            Action::Beat { epoch, entry, incarnation, applied, returned, sent } => {
+            Action::Heartbeat { epoch, entry, incarnation, applied, returned, sent } => {
                 if epoch != self.epoch {
                     return Ok(());
                 }
-                let event = Event::Beat { entry: name(entry), incarnation, applied, returned };
+                let event = Event::Heartbeat { entry: name(entry), incarnation, applied, returned };
                 self.tell(u, event)?;
                 let index = self.state.index;
                 let delay = self.delay(u)?;
@@ -270,8 +270,9 @@
             if !isolated {
                 let (epoch, sent) = (self.epoch, self.now);
                 let delay = self.delay(u)?;
-                let beat = Action::Beat { epoch, entry: at, incarnation, applied, returned, sent };
-                self.at(delay, beat);
+                let heartbeat =
+                    Action::Heartbeat { epoch, entry: at, incarnation, applied, returned, sent };
+                self.at(delay, heartbeat);
                 if absent {
                     self.rejoin(u, at)?;
                 }
--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -178,7 +178,7 @@
     let request = Follow { join: Some(settings.join.clone()), applied };
     send(&mut writer, up::Body::Follow(request)).await?;
     send_seals(&view, &mut writer).await?;
-    let mut beats = ticks(HEARTBEAT_INTERVAL);
+    let mut heartbeats = ticks(HEARTBEAT_INTERVAL);
     let mut checks = ticks(CHECK_INTERVAL);
     loop {
         tokio::select! {
@@ -190,12 +190,12 @@
                 progress.on(&view, message)?;
                 progress.collect_given_up(&view, given_up);
                 if progress.has_reduced_lease(&view) {
-                    send_beat(settings, progress, given_up, &mut writer).await?;
+                    send_heartbeat(settings, progress, given_up, &mut writer).await?;
                 }
             }
-            _ = beats.tick() => send_beat(settings, progress, given_up, &mut writer).await?,
+            _ = heartbeats.tick() => send_heartbeat(settings, progress, given_up, &mut writer).await?,
             () = view.wait_for_given_up() =>
-                send_beat(settings, progress, given_up, &mut writer).await?,
+                send_heartbeat(settings, progress, given_up, &mut writer).await?,
             () = view.wait_for_seal() => send_seals(&view, &mut writer).await?,
             Some(symptom) = settings.symptoms.recv() => {
                 send(&mut writer, up::Body::Symptom(symptom)).await?;
@@ -219,14 +219,14 @@
     ticks
 }
 
-async fn send_beat(
+async fn send_heartbeat(
     settings: &Settings,
     progress: &mut Progress,
     given_up: &mut Vec<Name>,
     writer: &mut Writer,
 ) -> Result<(), Report<Fault>> {
-    let beat = progress.beat(settings.clock.now(), &settings.view, given_up);
-    send(writer, up::Body::Beat(beat)).await
+    let heartbeat = progress.next_heartbeat(settings.clock.now(), &settings.view, given_up);
+    send(writer, up::Body::Heartbeat(heartbeat)).await
 }
 
 async fn send_seals(view: &View, writer: &mut Writer) -> Result<(), Report<Fault>> {
--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -13,7 +13,7 @@
 use bytes::BytesMut;
 use control::State;
 use smallvec::SmallVec;
-use wire::control::{Beat, Confirm, Down, Image, down};
+use wire::control::{Confirm, Down, Heartbeat, Image, down};
 use wire::log::Join;
 
 use crate::view::View;
@@ -62,7 +62,7 @@
             Self::Link => f.write_str("the link to control failed"),
             Self::Closed => f.write_str("the control member closed the link"),
             Self::Refused => f.write_str("the control member cannot serve"),
-            Self::Silent => f.write_str("the control member confirms no beat"),
+            Self::Silent => f.write_str("the control member confirms no heartbeat"),
             Self::Absent => f.write_str("the control log does not know this entry"),
             Self::Gap { due, found } => {
                 write!(f, "index {due} of the log is missing before {found}")
@@ -160,13 +160,18 @@
     }
 
     /// Creates the next heartbeat, which lists all groups that were given up.
-    pub fn beat(&mut self, now: Instant, view: &View, given_up: &mut Vec<Name>) -> Beat {
+    pub fn next_heartbeat(
+        &mut self,
+        now: Instant,
+        view: &View,
+        given_up: &mut Vec<Name>,
+    ) -> Heartbeat {
         self.sequence += 1;
         self.sent.push_back((self.sequence, now));
         let applied = self.collect_given_up(view, given_up);
         self.acknowledged = view.read(|state| self.last_reduction(state)).min(applied);
         let returned = given_up.iter().map(Name::to_string).collect();
-        Beat { sequence: self.sequence, applied, returned }
+        Heartbeat { sequence: self.sequence, applied, returned }
     }
 
     fn is_returning(&self, state: &State, group: &Name) -> bool {
--- a/components/entry/tests/follow.rs
+++ b/components/entry/tests/follow.rs
@@ -49,11 +49,11 @@
 }
 
 /// Reads messages up to the next heartbeat.
-async fn next_beat(reader: &mut Reader) -> messages::Beat {
+async fn next_heartbeat(reader: &mut Reader) -> messages::Heartbeat {
     loop {
         let message: Up = reader.next().await.unwrap().unwrap();
-        if let Some(up::Body::Beat(beat)) = message.body {
-            return beat;
+        if let Some(up::Body::Heartbeat(heartbeat)) = message.body {
+            return heartbeat;
         }
     }
 }
@@ -120,7 +120,7 @@
     let entry = start(vec![address]);
     let (mut reader, mut writer, follow) = accept(&listener).await;
     assert_eq!(follow.applied, 0);
-    let first = next_beat(&mut reader).await;
+    let first = next_heartbeat(&mut reader).await;
     send(&mut writer, confirm(first.sequence, 3)).await;
     send(&mut writer, entries(1..=2)).await;
     wait_for_index(&entry.view, 2).await;
@@ -183,7 +183,7 @@
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (mut reader, _writer, _) = accept(&listener).await;
-    next_beat(&mut reader).await;
+    next_heartbeat(&mut reader).await;
     entry.handle.leave().await;
     loop {
         let message: Option<Up> = reader.next().await.unwrap();
@@ -206,7 +206,7 @@
     let (view, _symptoms) = View::new();
     let mut progress = Progress::new(Instant::ZERO, join());
     let later = |millis| Instant::from_millis(millis);
-    let sequence = progress.beat(Instant::ZERO, &view, &mut Vec::new()).sequence;
+    let sequence = progress.next_heartbeat(Instant::ZERO, &view, &mut Vec::new()).sequence;
     let confirm = |index| Down { body: Some(confirm(sequence, index)) };
     progress.on(&view, confirm(1)).unwrap();
     assert!(progress.check(later(5_000), &view, 0).is_ok());
@@ -234,7 +234,7 @@
         progress.on(&view, Down { body: Some(down::Body::Entries(entries)) }).unwrap();
     }
     assert!(progress.has_reduced_lease(&view));
-    assert_eq!(progress.beat(Instant::ZERO, &view, &mut Vec::new()).applied, 3);
+    assert_eq!(progress.next_heartbeat(Instant::ZERO, &view, &mut Vec::new()).applied, 3);
     assert!(!progress.has_reduced_lease(&view));
 }
 
@@ -243,7 +243,7 @@
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (mut reader, _writer, _) = accept(&listener).await;
-    next_beat(&mut reader).await;
+    next_heartbeat(&mut reader).await;
     entry.view.write(|state| {
         let group = state.groups.entry(Name::new("g1").unwrap()).or_default();
         group.leases.push(wire::log::Lease {
@@ -255,12 +255,12 @@
     });
     entry.view.give_up(Name::new("g1").unwrap());
     entry.view.give_up(Name::new("g2").unwrap());
-    assert_eq!(next_beat(&mut reader).await.returned, ["g1"]);
-    assert_eq!(next_beat(&mut reader).await.returned, ["g1"]);
+    assert_eq!(next_heartbeat(&mut reader).await.returned, ["g1"]);
+    assert_eq!(next_heartbeat(&mut reader).await.returned, ["g1"]);
     entry.view.write(|state| {
         state.groups.clear();
     });
-    assert!(next_beat(&mut reader).await.returned.is_empty());
+    assert!(next_heartbeat(&mut reader).await.returned.is_empty());
 }
 
 #[test]
@@ -269,7 +269,7 @@
     let start = Instant::from_millis(1_000);
     let later = |millis| start + Duration::from_millis(millis);
     let mut progress = Progress::new(start, join());
-    progress.beat(start, &view, &mut Vec::new());
+    progress.next_heartbeat(start, &view, &mut Vec::new());
     // the confirmation comes after a long message that arrives over a slow link
     for step in 1..=30 {
         assert!(progress.check(later(step * 100), &view, step as usize * 25_000).is_ok());
@@ -279,7 +279,7 @@
     assert_eq!(*report.current_context(), Fault::Silent);
     // a message that takes too long does not keep the link alive
     let mut progress = Progress::new(start, join());
-    progress.beat(start, &view, &mut Vec::new());
+    progress.next_heartbeat(start, &view, &mut Vec::new());
     let silent =
         (1..=200).find(|step| progress.check(later(step * 100), &view, *step as usize).is_err());
     assert_eq!(silent, Some(101));
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -49,7 +49,7 @@
     Quorum = 3,
 }
 
-/// Why a link failed.
+/// Failure of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// The TCP connection could not be established.
--- a/components/member/src/entry.rs
+++ b/components/member/src/entry.rs
@@ -58,7 +58,7 @@
 ) -> Result<(), Report<Failure>> {
     while let Some(up) = reader.next::<Up>().await? {
         let input = match up.body {
-            Some(up::Body::Beat(beat)) => Input::Beat { key, beat },
+            Some(up::Body::Heartbeat(beat)) => Input::Beat { key, beat },
             Some(up::Body::Symptom(symptom)) => Input::Symptom { key, symptom },
             Some(up::Body::Leave(_)) => Input::Left { key },
             Some(up::Body::Seal(seal)) => Input::Seal { key, seal },
--- a/components/member/src/follow.rs
+++ b/components/member/src/follow.rs
@@ -5,7 +5,7 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::Message as _;
 use wire::control::{
-    Beat, Condition, Down, Entries, Follow, Image, Members, Refuse, Seal, Symptom, down,
+    Condition, Down, Entries, Follow, Image, Members, Refuse, Seal, Symptom, down,
 };
 use wire::log::command::Body;
 use wire::log::{Command, Join, Leave};
@@ -178,7 +178,7 @@
 
     /// A beat is confirmed by a read that begins now; the leader hears of it
     /// in the same message.
-    pub(crate) fn beat(&mut self, key: Key<Follower>, beat: Beat) {
+    pub(crate) fn beat(&mut self, key: Key<Follower>, beat: wire::control::Heartbeat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         let returned = std::mem::take(&mut follower.returned);
         let heartbeat = Heartbeat {
--- a/components/member/src/input.rs
+++ b/components/member/src/input.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use tokio::sync::{mpsc, oneshot};
-use wire::control::{Beat, Down, Follow, Seal, Symptom};
+use wire::control::{Down, Follow, Heartbeat, Seal, Symptom};
 use wire::log::{Announce, Command};
 use wire::quorum::{Member, Members, Message, Refusal};
 
@@ -34,7 +34,7 @@
     /// An entry follows.
     Opened { follow: Follow, sender: mpsc::Sender<Down>, reply: oneshot::Sender<Key<Follower>> },
     /// An entry beats.
-    Beat { key: Key<Follower>, beat: Beat },
+    Beat { key: Key<Follower>, beat: Heartbeat },
     /// A keeper saw something.
     Symptom { key: Key<Follower>, symptom: Symptom },
     /// A keeper sealed a group.
--- a/components/member/src/lead.rs
+++ b/components/member/src/lead.rs
@@ -129,7 +129,7 @@
         }
         let returned = returned.iter().filter_map(|group| Name::new(group).ok()).collect();
         let name = entry.to_string();
-        self.lead(Event::Beat { entry, incarnation, applied, returned });
+        self.lead(Event::Heartbeat { entry, incarnation, applied, returned });
         for symptom in symptoms {
             self.see(&name, Some(symptom));
         }
--- a/components/member/tests/follow.rs
+++ b/components/member/tests/follow.rs
@@ -9,7 +9,7 @@
 use reqwest::StatusCode;
 use serde_json::json;
 use trio::{PATIENCE, Trio};
-use wire::control::{Beat, Confirm, Down, Follow, Up, down, up};
+use wire::control::{Confirm, Down, Follow, Heartbeat, Up, down, up};
 use wire::log::{Join, command};
 
 async fn follow(trio: &Trio, place: usize, applied: u64) -> (Reader, Writer) {
@@ -37,9 +37,9 @@
     down.body.expect("a body")
 }
 
-async fn beat(reader: &mut Reader, writer: &mut Writer, sequence: u64) -> Confirm {
-    let beat = Beat { sequence, applied: 0, returned: Vec::new() };
-    writer.send(&Up { body: Some(up::Body::Beat(beat)) }).await.expect("sent");
+async fn send_heartbeat(reader: &mut Reader, writer: &mut Writer, sequence: u64) -> Confirm {
+    let heartbeat = Heartbeat { sequence, applied: 0, returned: Vec::new() };
+    writer.send(&Up { body: Some(up::Body::Heartbeat(heartbeat)) }).await.expect("sent");
     loop {
         if let down::Body::Confirm(confirm) = next(reader).await {
             return confirm;
@@ -66,7 +66,7 @@
                 configured |= matches!(body, Some(command::Body::Configure(_)));
             }
         }
-        let confirm = beat(&mut reader, &mut writer, 7).await;
+        let confirm = send_heartbeat(&mut reader, &mut writer, 7).await;
         assert_eq!(
             (confirm.sequence, u128::from(confirm.lease_ms)),
             (7, LEASE_DURATION.as_millis())
@@ -80,15 +80,15 @@
     let mut trio = Trio::start().await;
     let leader = trio.leader().await;
     let (mut reader, mut writer) = follow(&trio, leader, 0).await;
-    beat(&mut reader, &mut writer, 1).await;
+    send_heartbeat(&mut reader, &mut writer, 1).await;
     for other in (0..3).filter(|place| *place != leader) {
         trio.handles[other].take().expect("runs").kill();
     }
     let confirmed = tokio::time::timeout(Duration::from_secs(1), async {
         loop {
-            let beat = Beat { sequence: 2, applied: 0, returned: Vec::new() };
-            let beat = Up { body: Some(up::Body::Beat(beat)) };
-            if writer.send(&beat).await.is_err() {
+            let heartbeat = Heartbeat { sequence: 2, applied: 0, returned: Vec::new() };
+            let heartbeat = Up { body: Some(up::Body::Heartbeat(heartbeat)) };
+            if writer.send(&heartbeat).await.is_err() {
                 return false;
             }
             match reader.next::<Down>().await {
@@ -100,7 +100,7 @@
             }
         }
     });
-    assert!(!confirmed.await.unwrap_or(false), "a beat was confirmed without a quorum");
+    assert!(!confirmed.await.unwrap_or(false), "a heartbeat was confirmed without a quorum");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -2,7 +2,7 @@
 //!
 //! The entry dials any member and names the last index that it has applied; the
 //! member then sends it all commands committed after that. The entry sends
-//! heartbeats ([`Beat`]) at a fixed interval. The member confirms a heartbeat only
+//! heartbeats ([`Heartbeat`]) at a fixed interval. The member confirms a heartbeat only
 //! after a quorum did, and the confirmation extends the entry's lease, counted from
 //! the time at which the heartbeat was sent.
 
@@ -27,7 +27,7 @@
         Follow(super::Follow),
         /// Heartbeat that renews the entry's lease.
         #[prost(message, tag = "2")]
-        Beat(super::Beat),
+        Heartbeat(super::Heartbeat),
         /// Condition of a group's primary, as the entry's keeper observes it.
         #[prost(message, tag = "3")]
         Symptom(super::Symptom),
@@ -53,7 +53,7 @@
 
 /// A heartbeat that renews an entry's lease.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Sequence number of the heartbeat on this link.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
--- a/programs/trefoil-slope/src/cmd/beat.rs
+++ b/programs/trefoil-slope/src/cmd/beat.rs
@@ -4,7 +4,7 @@
 use control::{Event, Leader};
 use serde::Serialize;
 use wire::Message;
-use wire::control::{Beat, Confirm, Down, Up, down, up};
+use wire::control::{Confirm, Down, Heartbeat, Up, down, up};
 
 use crate::size::{self, ENTRIES, Size};
 use crate::timer::median;
@@ -28,13 +28,13 @@
 }
 
 fn measure(entries: usize) -> Row {
-    let beat = Beat { sequence: 1_000, applied: 100_000, returned: Vec::new() };
-    let beat = Up { body: Some(up::Body::Beat(beat)) }.encode_to_vec();
+    let heartbeat = Heartbeat { sequence: 1_000, applied: 100_000, returned: Vec::new() };
+    let heartbeat = Up { body: Some(up::Body::Heartbeat(heartbeat)) }.encode_to_vec();
     let confirm = Confirm { sequence: 1_000, index: 100_000, lease_ms: 2_000 };
     let confirm = Down { body: Some(down::Body::Confirm(confirm)) };
     let round = median(CALLS, || {
         for _ in 0..entries {
-            std::hint::black_box(Up::decode(beat.as_slice()).is_ok());
+            std::hint::black_box(Up::decode(heartbeat.as_slice()).is_ok());
             std::hint::black_box(confirm.encode_to_vec());
         }
     });
@@ -46,13 +46,13 @@
     let leader_round = median(CALLS, || {
         now += control::lease::HEARTBEAT_INTERVAL;
         for entry in &names {
-            let beat = Event::Beat {
+            let heartbeat = Event::Heartbeat {
                 entry: entry.clone(),
                 incarnation: 1,
                 applied: state.index,
                 returned: Vec::new(),
             };
-            leader.on(now, &state, beat, &mut out);
+            leader.on(now, &state, heartbeat, &mut out);
         }
         leader.on(now, &state, Event::Tick, &mut out);
         out.clear();
@@ -60,7 +60,7 @@
     Row {
         measure: "beat",
         entries,
-        beat_bytes: beat.len(),
+        beat_bytes: heartbeat.len(),
         confirm_bytes: confirm.encoded_len(),
         round_micros: round.as_secs_f64() * 1e6,
         leader_round_micros: leader_round.as_secs_f64() * 1e6,
--- a/programs/trefoil-slope/src/cmd/lead.rs
+++ b/programs/trefoil-slope/src/cmd/lead.rs
@@ -90,7 +90,7 @@
         self.now += control::leader::TICK;
         let mut events = vec![Event::Tick];
         if round.is_multiple_of(25) {
-            events.extend(self.beats());
+            events.extend(self.heartbeats());
         }
         // what was asked in one round is answered in the next
         events.append(&mut self.answers);
@@ -106,14 +106,14 @@
         }
     }
 
-    fn beats(&self) -> Vec<Event> {
-        let beat = |entry: &Name| Event::Beat {
+    fn heartbeats(&self) -> Vec<Event> {
+        let heartbeat = |entry: &Name| Event::Heartbeat {
             entry: entry.clone(),
             incarnation: 1,
             applied: self.state.index,
             returned: Vec::new(),
         };
-        self.names.iter().map(beat).collect()
+        self.names.iter().map(heartbeat).collect()
     }
 
     fn follow(&mut self, effect: Effect) -> Option<Event> {
