--- a/components/journal/src/frame.rs
+++ b/components/journal/src/frame.rs
@@ -15,7 +15,7 @@
 /// Length of a snapshot file's header, in bytes.
 const SNAPSHOT_HEADER_BYTES: usize = 12;
 
-/// First byte of each record, which gives its kind.
+// Kinds of records, encoded as the first byte of each record.
 const KIND_HARD: u8 = 1;
 const KIND_ENTRY: u8 = 2;
 const KIND_RESET: u8 = 3;
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -23,7 +23,7 @@
 
 /// Time limit for establishing a TCP connection. A host that is starting does not
 /// answer the first SYN, and the kernel resends it only after a second; dialing
-/// again is faster.
+/// again after this limit is faster.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Length of the random nonce of each end, in bytes.
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -3,8 +3,8 @@
 //! The entry dials any member and names the last index that it has applied; the
 //! member then sends it all commands committed after that. The entry sends
 //! heartbeats ([`Heartbeat`]) at a fixed interval. The member confirms a heartbeat only
-//! after a quorum did, and the confirmation extends the entry's lease, counted from
-//! the time at which the heartbeat was sent.
+//! after a quorum has confirmed the leader, and the confirmation extends the entry's
+//! lease, counted from the time at which the heartbeat was sent.
 
 use crate::log::{Command, Join};
 use crate::mark::Mark;
@@ -12,7 +12,7 @@
 /// A message from an entry to a control member.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Up {
-    /// The message.
+    /// Body of the message.
     #[prost(oneof = "up::Body", tags = "1, 2, 3, 4, 5")]
     pub body: Option<up::Body>,
 }
@@ -126,7 +126,7 @@
 /// A message from a control member to an entry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Down {
-    /// The message.
+    /// Body of the message.
     #[prost(oneof = "down::Body", tags = "1, 2, 3, 4, 5")]
     pub body: Option<down::Body>,
 }
--- a/components/wire/src/data.rs
+++ b/components/wire/src/data.rs
@@ -11,7 +11,7 @@
 /// A message from a front to a keeper.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ask {
-    /// The message.
+    /// Body of the message.
     #[prost(oneof = "ask::Body", tags = "1, 2, 3, 4, 5, 6")]
     pub body: Option<ask::Body>,
 }
@@ -152,7 +152,7 @@
 /// A message from a keeper to a front.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Answer {
-    /// The message.
+    /// Body of the message.
     #[prost(oneof = "answer::Body", tags = "1, 2, 3, 4")]
     pub body: Option<answer::Body>,
 }
