--- a/components/control/tests/leader.rs
+++ b/components/control/tests/leader.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use control::lease::{LEASE_DURATION, LEASE_MARGIN};
 use control::{Ask, Effect, Event, Flaw, Leader, Outcome, Refusal, State};
-use wire::log::{Announce, Assign, Command, Configure, Establish, Join, Part, command};
+use wire::log::{Announce, Assign, Command, Configure, Establish, Join, Leave, command};
 
 const TICK: Duration = control::leader::TICK;
 
@@ -106,7 +106,7 @@
                     .filter_map(|group| group.lease(entry.as_str()))
                     .any(|lease| lease.returning && lease.incarnation == incarnation);
                 let returned = if returns { vec![name("g")] } else { Vec::new() };
-                self.tell(Event::Beat { entry, incarnation, applied, returned });
+                self.tell(Event::Heartbeat { entry, incarnation, applied, returned });
             }
             for server in ["s0", "s1", "s2"] {
                 let renewed = self.state.servers[server].slots;
@@ -195,8 +195,8 @@
     let group = &world.state.groups["g"];
     let lease = wire::log::Lease { entry: "e2".to_owned(), incarnation: 1, ..Default::default() };
     let assign = Assign { group: "g".to_owned(), base: group.generation, leases: vec![lease] };
-    let part = Part { entry: "e2".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Part(part));
+    let departure = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(departure));
     let outcome = world.commit(command::Body::Assign(assign));
     assert_eq!(outcome, Outcome::Refused(Refusal::Generation));
 }
@@ -230,8 +230,8 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    let part = Part { entry: "e1".to_owned(), incarnation: 1, over: false };
-    world.commit(command::Body::Part(part));
+    let departure = Leave { entry: "e1".to_owned(), incarnation: 1, over: false };
+    world.commit(command::Body::Leave(departure));
     world.leader = Leader::with_flaw(world.now, flaw);
     world.tell(Event::Joined(join("e2", 1, "a")));
     world.pass(LEASE_DURATION, &[("e2", 1)]);
@@ -260,8 +260,8 @@
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
-    let part = Part { entry: "e1".to_owned(), incarnation: 1, over: true };
-    world.commit(command::Body::Part(part));
+    let departure = Leave { entry: "e1".to_owned(), incarnation: 1, over: true };
+    world.commit(command::Body::Leave(departure));
     world.leader = Leader::new(world.now);
     world.tell(Event::Joined(join("e2", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e2", 1)]);
--- a/components/member/src/api.rs
+++ b/components/member/src/api.rs
@@ -5,7 +5,7 @@
 use control::{Outcome, Refusal};
 use tokio::sync::oneshot;
 use wire::log::{Announce, Command, Replace, command};
-use wire::pack::{self, Garbled};
+use wire::pack::{self, Malformed};
 
 use crate::input::{Completion, Input, NoLeader, Sender};
 
@@ -43,8 +43,8 @@
     /// Source document of the edition.
     ///
     /// # Errors
-    /// [`Garbled`] if the stored bytes are not a packed document.
-    pub fn document(&self) -> Result<Vec<u8>, Report<Garbled>> {
+    /// [`Malformed`] if the stored bytes are not a packed document.
+    pub fn document(&self) -> Result<Vec<u8>, Report<Malformed>> {
         pack::unpack(&self.packed)
     }
 }
--- a/components/member/src/entry.rs
+++ b/components/member/src/entry.rs
@@ -30,7 +30,7 @@
     let first = tokio::time::timeout(FOLLOW_TIMEOUT, reader.next::<Up>()).await;
     let first = first.change_context(Failure::Timeout)??;
     let Some(Up { body: Some(up::Body::Follow(follow)) }) = first else {
-        return Err(Report::new(Failure::Garbled));
+        return Err(Report::new(Failure::Malformed));
     };
     let (sender, mut due) = mpsc::channel(QUEUE);
     let (reply, follower) = oneshot::channel();
@@ -59,11 +59,11 @@
 ) -> Result<(), Report<Failure>> {
     while let Some(up) = reader.next::<Up>().await? {
         let input = match up.body {
-            Some(up::Body::Beat(beat)) => Input::Heartbeat { key, beat },
+            Some(up::Body::Heartbeat(beat)) => Input::Heartbeat { key, beat },
             Some(up::Body::Symptom(symptom)) => Input::Symptom { key, symptom },
             Some(up::Body::Leave(_)) => Input::Leave { key },
             Some(up::Body::Seal(seal)) => Input::Seal { key, seal },
-            Some(up::Body::Follow(_)) => return Err(Report::new(Failure::Garbled)),
+            Some(up::Body::Follow(_)) => return Err(Report::new(Failure::Malformed)),
             None => continue,
         };
         if endpoint.is_isolated() {
@@ -86,7 +86,7 @@
         for down in burst.drain(..) {
             if endpoint.is_isolated() {
                 // a gap in the entries would look like a faulty member, so the link is closed
-                return Err(Report::new(Failure::Cut));
+                return Err(Report::new(Failure::UnexpectedEof));
             }
             writer.put(&down)?;
         }
--- a/components/member/src/follower.rs
+++ b/components/member/src/follower.rs
@@ -5,11 +5,11 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::Message as _;
 use wire::control::{
-    Beat, Down, Entries, Follow, Image, Members, Refuse, Seal, Sight, Symptom, down,
+    Condition, Down, Entries, Follow, Image, Members, Refuse, Seal, Symptom, down,
 };
 use wire::log::command::Body;
-use wire::log::{Command, Join, Part};
-use wire::quorum::{Pulse, Sealed, Seen};
+use wire::log::{Command, Join, Leave};
+use wire::quorum::{Heartbeat, Observed, Sealed};
 
 use crate::core::Core;
 use crate::pending::Read;
@@ -43,7 +43,7 @@
     /// Newest seal of each group that the entry reported.
     seals: Vec<Seal>,
     /// Unconfirmed heartbeats that contain returned leases.
-    returned: Vec<Pulse>,
+    returned: Vec<Heartbeat>,
 }
 
 impl Core {
@@ -184,10 +184,10 @@
 
     /// Starts the read that confirms a heartbeat. The leader receives the heartbeat in
     /// the same message as the read.
-    pub(crate) fn on_heartbeat(&mut self, key: Key<Follower>, beat: Beat) {
+    pub(crate) fn on_heartbeat(&mut self, key: Key<Follower>, beat: wire::control::Heartbeat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         let returned = std::mem::take(&mut follower.returned);
-        let heartbeat = Pulse {
+        let heartbeat = Heartbeat {
             join: Some(follower.join.clone()),
             applied: beat.applied,
             returned: beat.returned,
@@ -206,10 +206,10 @@
     /// Keeps the returned leases of an unconfirmed heartbeat, to be sent with the next
     /// one. The kept heartbeat contains the index that the entry had applied when it
     /// returned the leases.
-    pub(crate) fn retain_returned(&mut self, key: Key<Follower>, heartbeat: Pulse) {
+    pub(crate) fn retain_returned(&mut self, key: Key<Follower>, heartbeat: Heartbeat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         if !heartbeat.returned.is_empty() && follower.returned.len() < MAX_RETURNED_HEARTBEATS {
-            follower.returned.push(Pulse { symptoms: Vec::new(), ..heartbeat });
+            follower.returned.push(Heartbeat { symptoms: Vec::new(), ..heartbeat });
         }
     }
 
@@ -217,11 +217,11 @@
     pub(crate) fn report_symptom(&mut self, key: Key<Follower>, symptom: Symptom) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         follower.symptoms.retain(|known| known.group != symptom.group);
-        if symptom.sight() != Sight::Healthy {
+        if symptom.condition() != Condition::Healthy {
             follower.symptoms.push(symptom.clone());
         }
         let entry = follower.join.entry.clone();
-        self.forward.sights.push(Seen { entry, symptom: Some(symptom) });
+        self.forward.symptoms.push(Observed { entry, symptom: Some(symptom) });
     }
 
     /// Forwards a keeper's seal to the leader at once, and repeats it with each heartbeat.
@@ -238,7 +238,7 @@
     pub(crate) fn report_leave(&mut self, key: Key<Follower>) {
         let Some(follower) = self.followers.get(key) else { return };
         let (entry, incarnation) = (follower.join.entry.clone(), follower.join.incarnation);
-        self.forward.leaves.push(Part { entry, incarnation, over: true });
+        self.forward.leaves.push(Leave { entry, incarnation, over: true });
     }
 
     /// Refuses all entries once this member has had no leader for [`LEADERLESS_TIMEOUT`].
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-use backend::Outside;
+use backend::Adapter;
 use base::clock::Clock;
 use base::prelude::*;
 use quorum::Replica;
@@ -56,7 +56,7 @@
     /// Whether the member publishes its progress in beacons.
     pub beacons: bool,
     /// Access to the servers of unfenced groups, if any exist.
-    pub adapter: Option<Arc<dyn Outside>>,
+    pub adapter: Option<Arc<dyn Adapter>>,
 }
 
 /// Source of the membership for a member without a log.
--- a/components/member/src/leader.rs
+++ b/components/member/src/leader.rs
@@ -6,9 +6,9 @@
 use tokio::sync::oneshot;
 use wire::Message as _;
 use wire::control::Seal;
-use wire::log::{Announce, Join, Part};
+use wire::log::{Announce, Join, Leave};
 use wire::quorum::message::Body;
-use wire::quorum::{Forward, Message, Pulse, Sealed, Seen};
+use wire::quorum::{Forward, Heartbeat, Message, Observed, Sealed};
 
 use crate::core::Core;
 use crate::input::NoLeader;
@@ -99,12 +99,12 @@
         for announce in forward.announces {
             self.notify_leader(Event::Announced(announce));
         }
-        for Part { entry, incarnation, .. } in forward.leaves {
+        for Leave { entry, incarnation, .. } in forward.leaves {
             if let Ok(entry) = Name::new(&entry) {
                 self.notify_leader(Event::Left { entry, incarnation });
             }
         }
-        for Seen { entry, symptom } in forward.sights {
+        for Observed { entry, symptom } in forward.symptoms {
             self.on_symptom(&entry, symptom);
         }
         for Sealed { entry, incarnation, seal } in forward.seals {
@@ -117,8 +117,8 @@
 
     /// Handles a heartbeat that an entry sent to any member, before it is confirmed.
     pub(crate) fn on_heartbeat_note(&mut self, note: &[u8]) {
-        let Ok(Pulse { join: Some(join), applied, returned, symptoms, seals }) =
-            Pulse::decode(note)
+        let Ok(Heartbeat { join: Some(join), applied, returned, symptoms, seals }) =
+            Heartbeat::decode(note)
         else {
             return;
         };
@@ -130,7 +130,7 @@
         }
         let returned = returned.iter().filter_map(|group| Name::new(group).ok()).collect();
         let name = entry.to_string();
-        self.notify_leader(Event::Beat { entry, incarnation, applied, returned });
+        self.notify_leader(Event::Heartbeat { entry, incarnation, applied, returned });
         for symptom in symptoms {
             self.on_symptom(&name, Some(symptom));
         }
--- a/components/member/src/link.rs
+++ b/components/member/src/link.rs
@@ -94,9 +94,9 @@
     endpoint: &Endpoint,
     core: &Sender,
 ) -> Result<(), Report<Failure>> {
-    let hello: Hello = reader.next().await?.ok_or(Failure::Cut)?;
+    let hello: Hello = reader.next().await?.ok_or(Failure::UnexpectedEof)?;
     writer.send(&endpoint.hello()).await?;
-    let Some(member) = hello.member else { return Err(Report::new(Failure::Garbled)) };
+    let Some(member) = hello.member else { return Err(Report::new(Failure::Malformed)) };
     let id = member.id;
     drop(core.send(Input::Hello { member, wants_to_join: hello.asks }).await);
     let mut last_confirm = Instant::now();
@@ -112,7 +112,7 @@
         };
         let Some(message) = message else { return Ok(()) };
         if message.from != id {
-            return Err(Report::new(Failure::Garbled));
+            return Err(Report::new(Failure::Malformed));
         }
         if endpoint.is_isolated() {
             continue;
--- a/components/member/src/peers.rs
+++ b/components/member/src/peers.rs
@@ -122,7 +122,7 @@
     let (_, mut reader, mut writer) = ::link::dial(address, &peer, &endpoint.key).await?;
     let exchanged = async {
         writer.send(&endpoint.hello()).await?;
-        reader.next::<Hello>().await?.ok_or_else(|| Report::new(Failure::Cut))
+        reader.next::<Hello>().await?.ok_or_else(|| Report::new(Failure::UnexpectedEof))
     };
     let hello = tokio::time::timeout(::link::peer::HANDSHAKE_TIMEOUT, exchanged).await;
     let hello = hello.change_context(Failure::Timeout)??;
@@ -151,7 +151,7 @@
 ) -> Result<(), Report<Failure>> {
     let (hello, mut reader, mut writer) = exchange_hello(address, endpoint).await?;
     if hello.member.as_ref().is_none_or(|member| member.id != id) {
-        return Err(Report::new(Failure::Unproved));
+        return Err(Report::new(Failure::Unauthenticated));
     }
     let mut burst = Vec::with_capacity(BURST);
     // time of the oldest flush since the last confirmation
@@ -161,7 +161,7 @@
             unconfirmed_since.filter(|_| hello.confirms).map(|since| since + CONFIRM_TIMEOUT);
         tokio::select! {
             confirm = reader.next::<Hello>() => {
-                confirm?.ok_or(Failure::Cut)?;
+                confirm?.ok_or(Failure::UnexpectedEof)?;
                 unconfirmed_since = None;
                 continue;
             }
--- a/components/member/src/pending.rs
+++ b/components/member/src/pending.rs
@@ -10,7 +10,7 @@
 use wire::Message as _;
 use wire::control::{Confirm, Down, down};
 use wire::log::Command;
-use wire::quorum::Pulse;
+use wire::quorum::Heartbeat;
 
 use crate::core::Core;
 use crate::follower::Follower;
@@ -41,9 +41,9 @@
 #[derive(Debug)]
 pub(crate) enum Read {
     /// A heartbeat of an entry.
-    Heartbeat { key: Key<Follower>, sequence: u64, heartbeat: Pulse },
+    Heartbeat { key: Key<Follower>, sequence: u64, heartbeat: Heartbeat },
     /// Leases that an entry returned in an earlier heartbeat that was not confirmed.
-    ReturnedLeases { key: Key<Follower>, heartbeat: Pulse },
+    ReturnedLeases { key: Key<Follower>, heartbeat: Heartbeat },
     /// A designation, which requires that a quorum confirms the leader first.
     Designate(Designation),
     /// A request for the declarations.
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use backend::Probe as _;
-use backend::{Outside, Promotion, sql};
+use backend::{Adapter, Promotion, sql};
 use base::prelude::*;
 use control::leader::STATUS_WAIT;
 use control::{Ask, Event, ProbeError};
@@ -45,7 +45,7 @@
     scope: Scope,
     /// Name of this member, sent as the holder with each promotion.
     own: Name,
-    adapter: Option<Arc<dyn Outside>>,
+    adapter: Option<Arc<dyn Adapter>>,
     queues: HashMap<Target, mpsc::Sender<Request>>,
 }
 
@@ -54,7 +54,7 @@
         core: Sender,
         scope: Scope,
         own: Name,
-        adapter: Option<Arc<dyn Outside>>,
+        adapter: Option<Arc<dyn Adapter>>,
     ) -> Self {
         Self { core, scope, own, adapter, queues: HashMap::new() }
     }
@@ -111,7 +111,7 @@
 struct Unfenced {
     group: Name,
     own: Name,
-    adapter: Arc<dyn Outside>,
+    adapter: Arc<dyn Adapter>,
 }
 
 /// Serves the requests of one connection to a server of an unfenced group.
@@ -122,7 +122,7 @@
     core: Sender,
 ) {
     let Unfenced { group, own, adapter } = access;
-    let mut connection = adapter.line(&group, &target.server, target.address);
+    let mut connection = adapter.connection(&group, &target.server, target.address);
     while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
         let status = match request.ask {
             Ask::Designate { token } => {
