--- a/components/burn/src/html.rs
+++ b/components/burn/src/html.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use plotters::prelude::*;
 
-use crate::report::{self, FAST_BURN, Row, SLOW_BURN, WINDOWS, title};
+use crate::report::{self, FAST_BURN_RATE, Row, SLOW_BURN_RATE, WINDOWS, title};
 use crate::text;
 
 const PLOT_WIDTH: u32 = 900;
@@ -83,7 +83,7 @@
     rows: &[Row],
 ) -> Result<(), DrawingAreaErrorKind<D::ErrorType>> {
     area.fill(&WHITE)?;
-    let highest = rows.iter().flat_map(|row| row.burn).fold(FAST_BURN, f64::max);
+    let highest = rows.iter().flat_map(|row| row.burn).fold(FAST_BURN_RATE, f64::max);
     let minutes = WINDOWS.map(|window| window.length().as_secs_f64() / 60.0);
     let mut chart = ChartBuilder::on(area)
         .caption("burn by window (minutes); lines at the alarms", ("sans-serif", 16))
@@ -91,7 +91,7 @@
         .y_label_area_size(LABEL_AREA)
         .build_cartesian_2d(0.0..minutes[WINDOWS.len() - 1], 0.0..highest * 1.1)?;
     chart.configure_mesh().draw()?;
-    for limit in [FAST_BURN, SLOW_BURN] {
+    for limit in [FAST_BURN_RATE, SLOW_BURN_RATE] {
         let ends = [0.0, minutes[WINDOWS.len() - 1]].map(|minute| (minute, limit));
         chart.draw_series(LineSeries::new(ends, &BLACK.mix(0.4)))?;
     }
--- a/components/burn/src/ledger.rs
+++ b/components/burn/src/ledger.rs
@@ -124,7 +124,7 @@
         account.latency.saturating_record(micros);
         for objective in objectives {
             if let Some(good) = event.good(objective) {
-                account.series(Goal::of(objective)).note(now, good);
+                account.series(Goal::of(objective)).record(now, good);
             }
         }
     }
--- a/components/burn/src/report.rs
+++ b/components/burn/src/report.rs
@@ -20,17 +20,17 @@
 use crate::series::Count;
 
 /// Period that a budget is meant to last.
-pub const PERIOD: Duration = Duration::from_hours(30 * 24);
+pub const BUDGET_PERIOD: Duration = Duration::from_hours(30 * 24);
 
 /// Windows of the report, shortest first.
 pub const WINDOWS: [Window; 4] =
     [Window::FiveMinutes, Window::HalfHour, Window::Hour, Window::SixHours];
 
 /// Burn over an hour and five minutes that needs a person at once.
-pub const FAST_BURN: f64 = 14.4;
+pub const FAST_BURN_RATE: f64 = 14.4;
 
 /// Burn over six hours and half an hour that needs a person today.
-pub const SLOW_BURN: f64 = 6.0;
+pub const SLOW_BURN_RATE: f64 = 6.0;
 
 /// A window of the report.
 #[derive(
@@ -171,7 +171,7 @@
         let now = Instant::from_micros(page.age_micros);
         let lines = page.lines.iter().filter(|l| l.service == *service && l.goal == goal);
         for line in lines {
-            sum.period.add(line.series.within(now, PERIOD));
+            sum.period.add(line.series.within(now, BUDGET_PERIOD));
             for (total, window) in sum.windows.iter_mut().zip(WINDOWS) {
                 total.add(line.series.within(now, window.length()));
             }
@@ -184,9 +184,9 @@
     let allowed = (1.0 - target).max(f64::EPSILON);
     let burn = sum.windows.map(|count| count.bad_share() / allowed);
     let [five_minutes, half_hour, hour, six_hours] = burn;
-    let alarm = if hour.min(five_minutes) >= FAST_BURN {
+    let alarm = if hour.min(five_minutes) >= FAST_BURN_RATE {
         Alarm::Fast
-    } else if six_hours.min(half_hour) >= SLOW_BURN {
+    } else if six_hours.min(half_hour) >= SLOW_BURN_RATE {
         Alarm::Slow
     } else {
         Alarm::None
--- a/components/burn/src/series.rs
+++ b/components/burn/src/series.rs
@@ -13,10 +13,10 @@
 pub const HOUR: Duration = Duration::from_hours(1);
 
 /// Fine buckets kept: six hours.
-pub const MINUTES: usize = 360;
+pub const MINUTE_BUCKETS: usize = 360;
 
 /// Coarse buckets kept: thirty days.
-pub const HOURS: usize = 720;
+pub const HOUR_BUCKETS: usize = 720;
 
 /// Requests counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
         self.bad += other.bad;
     }
 
-    const fn note(&mut self, good: bool) {
+    const fn record(&mut self, good: bool) {
         if good {
             self.good += 1;
         } else {
@@ -70,20 +70,20 @@
 
 impl Series {
     /// Counts one request.
-    pub fn note(&mut self, now: Instant, good: bool) {
-        note(&mut self.minutes, now, MINUTE, MINUTES, good);
-        note(&mut self.hours, now, HOUR, HOURS, good);
+    pub fn record(&mut self, now: Instant, good: bool) {
+        record(&mut self.minutes, now, MINUTE, MINUTE_BUCKETS, good);
+        record(&mut self.hours, now, HOUR, HOUR_BUCKETS, good);
     }
 
     /// Adds the counts of another series that began with the same process.
     pub fn merge(&mut self, other: &Self) {
-        merge(&mut self.minutes, &other.minutes, MINUTES);
-        merge(&mut self.hours, &other.hours, HOURS);
+        merge(&mut self.minutes, &other.minutes, MINUTE_BUCKETS);
+        merge(&mut self.hours, &other.hours, HOUR_BUCKETS);
     }
 
     /// The requests of the last `window`, rounded up to whole buckets.
     pub fn within(&self, now: Instant, window: Duration) -> Count {
-        if window <= MINUTE * MINUTES as u32 {
+        if window <= MINUTE * MINUTE_BUCKETS as u32 {
             sum(&self.minutes, now, MINUTE, window)
         } else {
             sum(&self.hours, now, HOUR, window)
@@ -95,7 +95,7 @@
     at.as_micros() / length.as_micros() as u64
 }
 
-fn note(buckets: &mut VecDeque<Bucket>, now: Instant, length: Duration, kept: usize, good: bool) {
+fn record(buckets: &mut VecDeque<Bucket>, now: Instant, length: Duration, kept: usize, good: bool) {
     let number = number(now, length);
     if buckets.back().is_none_or(|last| last.number < number) {
         buckets.push_back(Bucket { number, count: Count::default() });
@@ -104,7 +104,7 @@
         buckets.pop_front();
     }
     if let Some(last) = buckets.back_mut() {
-        last.count.note(good);
+        last.count.record(good);
     }
 }
 
--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -12,7 +12,7 @@
 
 /// What is wrong with declarations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fault {
+pub enum Violation {
     /// They can't be read.
     Syntax {
         /// What the reader says.
@@ -63,7 +63,7 @@
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Syntax { text } => f.write_str(text),
@@ -72,79 +72,95 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Violation {}
 
 #[derive(Default)]
-struct Faults(Vec<Fault>);
+struct Violations(Vec<Violation>);
 
-impl Faults {
+impl Violations {
     fn check(&mut self, right: bool, path: &[&str], allowed: Allowed) {
         if !right {
             let path = path.iter().map(|&part| part.to_owned()).collect();
-            self.0.push(Fault::Value { path, allowed });
+            self.0.push(Violation::Value { path, allowed });
         }
     }
 }
 
 impl Declarations {
     /// All that is wrong with them.
-    pub fn faults(&self) -> Vec<Fault> {
-        let mut faults = Faults::default();
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut violations = Violations::default();
         for (name, group) in &self.groups {
             let right = (1..=MAX_SERVERS).contains(&group.servers);
-            faults.check(right, &["groups", name.as_str(), "servers"], Allowed::Servers);
+            violations.check(right, &["groups", name.as_str(), "servers"], Allowed::Servers);
         }
         for (name, service) in &self.services {
-            check_service(&mut faults, name, service);
+            check_service(&mut violations, name, service);
         }
         for (name, selector) in &self.selectors {
-            self.check_selector(&mut faults, name, selector);
+            self.check_selector(&mut violations, name, selector);
         }
         for (name, database) in &self.databases {
             let path = ["databases", name.as_str(), "group"];
-            faults.check(self.groups.contains_key(&database.group), &path, Allowed::DeclaredGroup);
-            check_limits(&mut faults, ["databases", name.as_str()], &database.limits);
+            violations.check(
+                self.groups.contains_key(&database.group),
+                &path,
+                Allowed::DeclaredGroup,
+            );
+            check_limits(&mut violations, ["databases", name.as_str()], &database.limits);
         }
-        faults.0
+        violations.0
     }
 
-    fn check_selector(&self, faults: &mut Faults, name: &Name, selector: &Selector) {
+    fn check_selector(&self, violations: &mut Violations, name: &Name, selector: &Selector) {
         for group in &selector.groups {
             let right = self.groups.contains_key(group);
-            faults.check(right, &["selectors", name.as_str(), "groups"], Allowed::DeclaredGroup);
+            violations.check(
+                right,
+                &["selectors", name.as_str(), "groups"],
+                Allowed::DeclaredGroup,
+            );
         }
         for (kind_name, kind) in &selector.kinds {
             let path = |key| ["selectors", name.as_str(), "kinds", kind_name.as_str(), key];
             let read = kind.class == Class::Read;
-            faults.check(read || kind.age_ms == 0, &path("age_ms"), Allowed::ReadOnly);
-            faults.check(read || kind.patience_ms == 0, &path("patience_ms"), Allowed::ReadOnly);
+            violations.check(read || kind.age_ms == 0, &path("age_ms"), Allowed::ReadOnly);
+            violations.check(
+                read || kind.patience_ms == 0,
+                &path("patience_ms"),
+                Allowed::ReadOnly,
+            );
             let blank = |statement: &String| statement.trim().is_empty();
             let right = !kind.statements.iter().any(blank);
-            faults.check(right, &path("statements"), Allowed::Statement);
+            violations.check(right, &path("statements"), Allowed::Statement);
         }
     }
 }
 
-fn check_service(faults: &mut Faults, name: &Name, service: &Service) {
+fn check_service(violations: &mut Violations, name: &Name, service: &Service) {
     let name = name.as_str();
-    faults.check(service.weight > 0, &["services", name, "weight"], Allowed::Positive);
-    check_limits(faults, ["services", name], &service.limits);
+    violations.check(service.weight > 0, &["services", name, "weight"], Allowed::Positive);
+    check_limits(violations, ["services", name], &service.limits);
     for (index, objective) in service.objectives.iter().enumerate() {
         let index = index.to_string();
         let path = |key| ["services", name, "objectives", index.as_str(), key];
-        faults.check(is_share(objective.target), &path("target"), Allowed::Share);
+        violations.check(is_share(objective.target), &path("target"), Allowed::Share);
         let limited = objective.measure != Measure::Answered;
         let right = limited == (objective.within_ms > 0);
-        faults.check(right, &path("within_ms"), Allowed::Limit);
+        violations.check(right, &path("within_ms"), Allowed::Limit);
     }
 }
 
-fn check_limits(faults: &mut Faults, [table, name]: [&str; 2], limits: &Limits) {
+fn check_limits(violations: &mut Violations, [table, name]: [&str; 2], limits: &Limits) {
     let limit = |key| [table, name, "limits", key];
-    faults.check(limits.queue > 0, &limit("queue"), Allowed::Positive);
-    faults.check(limits.deadline_ms > 0, &limit("deadline_ms"), Allowed::Positive);
-    faults.check(limits.idle_transaction_ms > 0, &limit("idle_transaction_ms"), Allowed::Positive);
-    faults.check(is_share(limits.retry_share), &limit("retry_share"), Allowed::Share);
+    violations.check(limits.queue > 0, &limit("queue"), Allowed::Positive);
+    violations.check(limits.deadline_ms > 0, &limit("deadline_ms"), Allowed::Positive);
+    violations.check(
+        limits.idle_transaction_ms > 0,
+        &limit("idle_transaction_ms"),
+        Allowed::Positive,
+    );
+    violations.check(is_share(limits.retry_share), &limit("retry_share"), Allowed::Share);
 }
 
 fn is_share(value: f64) -> bool {
--- a/components/config/src/files.rs
+++ b/components/config/src/files.rs
@@ -3,7 +3,7 @@
 //! Each file may hold `[groups.NAME]`, `[services.NAME]` and
 //! `[selectors.NAME]`; keys are those of [`crate::model`], times are whole
 //! milliseconds under keys that end in `_ms`. Files are read in the order of
-//! their names and make one whole; a name may stand in one file only. A fault
+//! their names and make one whole; a name may stand in one file only. A violation
 //! in any file fails the whole, and each is told with its file, line and key.
 
 use std::fmt;
@@ -13,7 +13,7 @@
 use base::name::Name;
 use toml::de::{DeTable, DeValue};
 
-use crate::check::Fault;
+use crate::check::Violation;
 use crate::model::Declarations;
 
 /// What is wrong with a place in a file.
@@ -34,7 +34,7 @@
         other: PathBuf,
     },
     /// The value is not allowed.
-    Fault(Fault),
+    Violation(Violation),
 }
 
 impl fmt::Display for Problem {
@@ -44,15 +44,15 @@
             Self::Empty => f.write_str("holds no file whose name ends in `.toml`"),
             Self::Malformed { text } => f.write_str(text),
             Self::Duplicate { other } => write!(f, "is declared in {} too", other.display()),
-            Self::Fault(Fault::Value { allowed, .. }) => write!(f, "{allowed}"),
-            Self::Fault(fault) => write!(f, "{fault}"),
+            Self::Violation(Violation::Value { allowed, .. }) => write!(f, "{allowed}"),
+            Self::Violation(violation) => write!(f, "{violation}"),
         }
     }
 }
 
 /// A problem and its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Located {
+pub struct Diagnostic {
     /// The file or directory.
     pub file: PathBuf,
     /// Line in the file, from 1; zero when the whole file is meant.
@@ -63,7 +63,7 @@
     pub problem: Problem,
 }
 
-impl fmt::Display for Located {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
         if self.line > 0 {
@@ -78,12 +78,12 @@
 
 /// All that is wrong with a directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problems(pub Vec<Located>);
+pub struct Problems(pub Vec<Diagnostic>);
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, located) in self.0.iter().enumerate() {
-            write!(f, "{}{located}", if index > 0 { "\n" } else { "" })?;
+        for (index, diagnostic) in self.0.iter().enumerate() {
+            write!(f, "{}{diagnostic}", if index > 0 { "\n" } else { "" })?;
         }
         Ok(())
     }
@@ -109,13 +109,15 @@
         merge(&mut whole, file, &files[..index], &mut problems);
     }
     if problems.is_empty() {
-        problems.extend(whole.faults().into_iter().map(|fault| locate(&files, directory, fault)));
+        problems.extend(
+            whole.violations().into_iter().map(|violation| locate(&files, directory, violation)),
+        );
     }
     if problems.is_empty() { Ok(whole) } else { Err(Problems(problems)) }
 }
 
-fn read_files(directory: &Path, problems: &mut Vec<Located>) -> Vec<File> {
-    let whole = |file: &Path, problem| Located {
+fn read_files(directory: &Path, problems: &mut Vec<Diagnostic>) -> Vec<File> {
+    let whole = |file: &Path, problem| Diagnostic {
         file: file.to_owned(),
         line: 0,
         key: String::new(),
@@ -136,7 +138,7 @@
         match std::fs::read_to_string(&path) {
             Ok(text) => match parse(&path, &text) {
                 Ok(declarations) => files.push(File { path, text, declarations }),
-                Err(located) => problems.push(located),
+                Err(diagnostic) => problems.push(diagnostic),
             },
             Err(error) => problems.push(whole(&path, Problem::Unreadable(error.kind()))),
         }
@@ -156,14 +158,14 @@
     Ok(paths)
 }
 
-fn parse(path: &Path, text: &str) -> Result<Declarations, Located> {
+fn parse(path: &Path, text: &str) -> Result<Declarations, Diagnostic> {
     toml::from_str(text).map_err(|error| {
         let offset = error.span().map_or(0, |span| span.start);
         let key = DeTable::parse(text)
             .map(|table| key_at(table.get_ref(), offset).join("."))
             .unwrap_or_default();
         let problem = Problem::Malformed { text: error.message().to_owned() };
-        Located { file: path.to_owned(), line: line(text, offset), key, problem }
+        Diagnostic { file: path.to_owned(), line: line(text, offset), key, problem }
     })
 }
 
@@ -188,7 +190,7 @@
     Vec::new()
 }
 
-fn merge(whole: &mut Declarations, file: &File, before: &[File], problems: &mut Vec<Located>) {
+fn merge(whole: &mut Declarations, file: &File, before: &[File], problems: &mut Vec<Diagnostic>) {
     let own = &file.declarations;
     let mut check = |table: &str, name: &Name, taken: bool| {
         if taken {
@@ -244,9 +246,9 @@
     key.map_or((start, depth), |(key, _)| (key.span().start, depth + 1))
 }
 
-fn place(file: &File, path: &[String], problem: Problem) -> Located {
+fn place(file: &File, path: &[String], problem: Problem) -> Diagnostic {
     let (offset, _) = span(&file.text, path);
-    Located {
+    Diagnostic {
         file: file.path.clone(),
         line: line(&file.text, offset),
         key: path.join("."),
@@ -254,16 +256,16 @@
     }
 }
 
-fn locate(files: &[File], directory: &Path, fault: Fault) -> Located {
-    let Fault::Value { path, .. } = &fault else {
-        let problem = Problem::Fault(fault);
-        return Located { file: directory.to_owned(), line: 0, key: String::new(), problem };
+fn locate(files: &[File], directory: &Path, violation: Violation) -> Diagnostic {
+    let Violation::Value { path, .. } = &violation else {
+        let problem = Problem::Violation(violation);
+        return Diagnostic { file: directory.to_owned(), line: 0, key: String::new(), problem };
     };
     let path = path.clone();
     let deepest = files.iter().max_by_key(|file| span(&file.text, &path).1);
-    let problem = Problem::Fault(fault);
+    let problem = Problem::Violation(violation);
     match deepest {
         Some(file) => place(file, &path, problem),
-        None => Located { file: directory.to_owned(), line: 0, key: path.join("."), problem },
+        None => Diagnostic { file: directory.to_owned(), line: 0, key: path.join("."), problem },
     }
 }
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -16,9 +16,9 @@
 pub mod policy;
 pub mod text;
 
-pub use check::{Allowed, Fault};
+pub use check::{Allowed, Violation};
 pub use diff::{Change, diff};
-pub use files::{Located, Problem, Problems};
+pub use files::{Diagnostic, Problem, Problems};
 pub use model::{
     Class, Database, Declarations, Group, Kind, Labels, Limits, Objective, Selector, Service,
 };
--- a/components/config/src/patch.rs
+++ b/components/config/src/patch.rs
@@ -10,7 +10,7 @@
 use base::name::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::check::Fault;
+use crate::check::Violation;
 use crate::model::{Declarations, Group, Selector, Service};
 
 /// Declarations to set and to remove.
@@ -18,20 +18,20 @@
 #[serde(deny_unknown_fields)]
 pub struct Patch {
     /// New groups, or those with a new content.
-    #[serde(default, skip_serializing_if = "Part::is_empty")]
-    pub groups: Part<Group>,
+    #[serde(default, skip_serializing_if = "Delta::is_empty")]
+    pub groups: Delta<Group>,
     /// New services, or those with a new content.
-    #[serde(default, skip_serializing_if = "Part::is_empty")]
-    pub services: Part<Service>,
+    #[serde(default, skip_serializing_if = "Delta::is_empty")]
+    pub services: Delta<Service>,
     /// New selectors, or those with a new content.
-    #[serde(default, skip_serializing_if = "Part::is_empty")]
-    pub selectors: Part<Selector>,
+    #[serde(default, skip_serializing_if = "Delta::is_empty")]
+    pub selectors: Delta<Selector>,
 }
 
 /// Declarations of one table to set and to remove.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Part<T> {
+pub struct Delta<T> {
     /// Declarations to set, whole, by name.
     #[serde(default = "BTreeMap::new", skip_serializing_if = "BTreeMap::is_empty")]
     pub set: BTreeMap<Name, T>,
@@ -40,20 +40,20 @@
     pub remove: Vec<Name>,
 }
 
-impl<T> Default for Part<T> {
+impl<T> Default for Delta<T> {
     fn default() -> Self {
         Self { set: BTreeMap::new(), remove: Vec::new() }
     }
 }
 
-impl<T> Part<T> {
+impl<T> Delta<T> {
     /// Whether it changes nothing.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty() && self.remove.is_empty()
     }
 }
 
-impl<T: Clone + PartialEq> Part<T> {
+impl<T: Clone + PartialEq> Delta<T> {
     fn between(from: &BTreeMap<Name, T>, to: &BTreeMap<Name, T>) -> Self {
         let changed = to.iter().filter(|(name, value)| from.get(*name) != Some(*value));
         let set = changed.map(|(name, value)| (name.clone(), value.clone())).collect();
@@ -73,18 +73,18 @@
     /// What turns `from` into `to`.
     pub fn between(from: &Declarations, to: &Declarations) -> Self {
         Self {
-            groups: Part::between(&from.groups, &to.groups),
-            services: Part::between(&from.services, &to.services),
-            selectors: Part::between(&from.selectors, &to.selectors),
+            groups: Delta::between(&from.groups, &to.groups),
+            services: Delta::between(&from.services, &to.services),
+            selectors: Delta::between(&from.selectors, &to.selectors),
         }
     }
 
     /// Reads a patch's text.
     ///
     /// # Errors
-    /// [`Fault::Syntax`].
-    pub fn parse(text: &str) -> Result<Self, Fault> {
-        serde_json::from_str(text).map_err(|error| Fault::Syntax { text: error.to_string() })
+    /// [`Violation::Syntax`].
+    pub fn parse(text: &str) -> Result<Self, Violation> {
+        serde_json::from_str(text).map_err(|error| Violation::Syntax { text: error.to_string() })
     }
 
     /// The text that the control log carries.
@@ -96,12 +96,12 @@
     ///
     /// # Errors
     /// All that is wrong with the result.
-    pub fn apply(self, declarations: &Declarations) -> Result<Declarations, Vec<Fault>> {
+    pub fn apply(self, declarations: &Declarations) -> Result<Declarations, Vec<Violation>> {
         let mut patched = declarations.clone();
         self.groups.apply(&mut patched.groups);
         self.services.apply(&mut patched.services);
         self.selectors.apply(&mut patched.selectors);
-        let faults = patched.faults();
-        if faults.is_empty() { Ok(patched) } else { Err(faults) }
+        let violations = patched.violations();
+        if violations.is_empty() { Ok(patched) } else { Err(violations) }
     }
 }
--- a/components/config/src/policy.rs
+++ b/components/config/src/policy.rs
@@ -40,12 +40,12 @@
 impl Declarations {
     /// Whether a group is open to a service: by a selector, or as the group of
     /// the service's database.
-    pub fn opens(&self, service: &str, group: &str) -> bool {
+    pub fn can_access_group(&self, service: &str, group: &str) -> bool {
         self.holds(service, group) || self.selecting(service, group).next().is_some()
     }
 
     /// Whether a service may reach a server of a group that has these labels.
-    pub fn reaches(&self, service: &str, group: &str, labels: &Labels) -> bool {
+    pub fn can_access_server(&self, service: &str, group: &str, labels: &Labels) -> bool {
         let selected = || self.selecting(service, group).any(|s| matches(&s.backends, labels));
         self.holds(service, group) || selected()
     }
--- a/components/config/src/text.rs
+++ b/components/config/src/text.rs
@@ -1,7 +1,7 @@
 //! Declarations as the canonical text that the control log carries: JSON with
 //! sorted keys and every default written out.
 
-use crate::check::Fault;
+use crate::check::Violation;
 use crate::model::Declarations;
 
 impl Declarations {
@@ -9,11 +9,12 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<Violation>> {
         let read = serde_json::from_str::<Self>(text);
-        let declarations = read.map_err(|error| vec![Fault::Syntax { text: error.to_string() }])?;
-        let faults = declarations.faults();
-        if faults.is_empty() { Ok(declarations) } else { Err(faults) }
+        let declarations =
+            read.map_err(|error| vec![Violation::Syntax { text: error.to_string() }])?;
+        let violations = declarations.violations();
+        if violations.is_empty() { Ok(declarations) } else { Err(violations) }
     }
 
     /// The canonical text.
--- a/components/config/tests/files.rs
+++ b/components/config/tests/files.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use config::{Allowed, Class, Declarations, Fault, Problem, diff, files};
+use config::{Allowed, Class, Declarations, Problem, Violation, diff, files};
 
 fn example(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(name)
@@ -14,9 +14,9 @@
         std::fs::write(directory.path().join(name), text).unwrap();
     }
     let problems = files::read(directory.path()).unwrap_err().0;
-    let plain = |located: config::Located| {
-        let file = located.file.file_name().unwrap().to_string_lossy().into_owned();
-        (file, located.line, located.key, located.problem)
+    let plain = |diagnostic: config::Diagnostic| {
+        let file = diagnostic.file.file_name().unwrap().to_string_lossy().into_owned();
+        (file, diagnostic.line, diagnostic.key, diagnostic.problem)
     };
     problems.into_iter().map(plain).collect()
 }
@@ -39,7 +39,7 @@
     assert_eq!((rule.class, rule.patience.as_millis()), (Class::Read, 250));
     let rule = lakeshore.rule("club-leader", "entries-2", None, "UPDATE entry  SET arrived = true");
     assert_eq!(rule.class, Class::Idempotent);
-    assert!(!lakeshore.opens("payments", "tours-1"));
+    assert!(!lakeshore.can_access_group("payments", "tours-1"));
     let egbolt = files::read(&example("egbolt")).unwrap();
     let rule = egbolt.rule("reseller", "tours-3", Some("seat-map"), "SELECT 1");
     assert_eq!((rule.class, rule.age.as_millis()), (Class::Read, 5_000));
@@ -58,9 +58,9 @@
 fn names_what_is_allowed_for_a_value() {
     let text = "[services.s]\nweight = 0\nobjectives = [\n  { measure = \"answered\", target = 1.5 },\n]\n";
     let found = problems(&[("a.toml", "[groups.g]\nservers = 0\n"), ("b.toml", text)]);
-    let fault = |allowed, path: &str| {
+    let violation = |allowed, path: &str| {
         let path = path.split('.').map(str::to_owned).collect();
-        Problem::Fault(Fault::Value { path, allowed })
+        Problem::Violation(Violation::Value { path, allowed })
     };
     let due = [
         ("a.toml", 2, "groups.g.servers", Allowed::Servers),
@@ -68,7 +68,7 @@
         ("b.toml", 4, "services.s.objectives.0.target", Allowed::Share),
     ];
     let due = due.map(|(file, line, key, allowed)| {
-        (file.to_owned(), line, key.to_owned(), fault(allowed, key))
+        (file.to_owned(), line, key.to_owned(), violation(allowed, key))
     });
     assert_eq!(found, due);
 }
--- a/components/config/tests/patch.rs
+++ b/components/config/tests/patch.rs
@@ -4,7 +4,7 @@
 use arbtest::arbtest;
 use base::name::Name;
 use config::patch::Patch;
-use config::{Declarations, Fault, Group, Labels, Selector};
+use config::{Declarations, Group, Labels, Selector, Violation};
 
 fn name(text: &str) -> Name {
     Name::new(text).expect("a valid name")
@@ -65,6 +65,8 @@
 fn errors_on_a_result_that_makes_no_sense() {
     let patch = r#"{"selectors":{"set":{"s":{"groups":["unknown"]}}}}"#;
     let patch = Patch::parse(patch).expect("the text is read");
-    let faults = patch.apply(&Declarations::default()).expect_err("the group is not declared");
-    assert!(matches!(faults.as_slice(), [Fault::Value { path, .. }] if path[0] == "selectors"));
+    let violations = patch.apply(&Declarations::default()).expect_err("the group is not declared");
+    assert!(
+        matches!(violations.as_slice(), [Violation::Value { path, .. }] if path[0] == "selectors")
+    );
 }
--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -124,7 +124,7 @@
     }
 
     /// The declarations that result from a change.
-    fn declared(&self, configure: &log::Configure) -> Result<Declarations, Vec<config::Fault>> {
+    fn declared(&self, configure: &log::Configure) -> Result<Declarations, Vec<config::Violation>> {
         if configure.patch.is_empty() {
             return Declarations::parse(&configure.content);
         }
--- a/components/control/src/changes.rs
+++ b/components/control/src/changes.rs
@@ -7,7 +7,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
-use config::Fault;
+use config::Violation;
 
 /// Number of answers that are kept.
 pub const MAX_ANSWERS: usize = 10_000;
@@ -28,7 +28,7 @@
         version: u64,
     },
     /// The content does not parse as declarations.
-    Invalid(Vec<Fault>),
+    Invalid(Vec<Violation>),
 }
 
 impl fmt::Display for Answer {
--- a/components/control/src/image.rs
+++ b/components/control/src/image.rs
@@ -7,7 +7,7 @@
 
 use base::prelude::*;
 use bytes::Bytes;
-use config::{Declarations, Fault};
+use config::{Declarations, Violation};
 use wire::Message;
 use wire::{log, pack};
 
@@ -292,7 +292,7 @@
         Kind::Accepted => Ok(Answer::Accepted { version: image.version, index: image.index }),
         Kind::Conflict => Ok(Answer::Conflict { version: image.version }),
         Kind::Invalid => {
-            let faults: Vec<Fault> = read_json(&image.faults)?;
+            let faults: Vec<Violation> = read_json(&image.faults)?;
             Ok(Answer::Invalid(faults))
         }
         Kind::Missing => Err(Report::new(Malformed)),
--- a/components/entry/src/front/admit.rs
+++ b/components/entry/src/front/admit.rs
@@ -37,7 +37,7 @@
         let message = format!("database group `{group}` is not declared");
         return Err(Problem::new(Code::Database, message));
     }
-    if !declarations.opens(service, group) {
+    if !declarations.can_access_group(service, group) {
         let message = format!("no selector opens group `{group}` to service `{service}`");
         return Err(Problem::new(Code::Login, message));
     }
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -10,7 +10,7 @@
 use base::prelude::*;
 use keeper::{Connection, Count, Effect, Ended, Event, Group, Lease, Setup};
 use slog::Logger;
-use telemetry::event::{self, Learned, Sealed, Sighted};
+use telemetry::event::{self, Learned, Sealed, Symptom};
 use tokio::sync::watch;
 use wire::data::answer;
 
@@ -233,7 +233,7 @@
             Effect::Report(symptom) => {
                 let sight = symptom.sight().to_string();
                 let (server, term) = (symptom.server.as_str(), symptom.term);
-                Sighted { group: &self.name, server, sight: &sight, term }.log(&self.host.log);
+                Symptom { group: &self.name, server, condition: &sight, term }.log(&self.host.log);
                 self.host.view.report(symptom);
             }
             Effect::Seal { term, mark, index } => {
--- a/components/keeper/src/admission.rs
+++ b/components/keeper/src/admission.rs
@@ -235,7 +235,7 @@
         if !self.leased {
             return Some(Refusal::after(Reason::Lease, LEASE_RETRY_AFTER));
         }
-        let opens = self.declarations.opens(&run.service, self.name.as_str());
+        let opens = self.declarations.can_access_group(&run.service, self.name.as_str());
         (!opens).then(|| Refusal::new(Reason::Refused))
     }
 
--- a/components/keeper/src/service.rs
+++ b/components/keeper/src/service.rs
@@ -54,7 +54,7 @@
         let objective = database.map(|database| Duration::from_millis(database.objective_ms));
         self.objective = objective.filter(|objective| !objective.is_zero());
         let reached = |server: &Server| {
-            declarations.reaches(self.name.as_str(), group.as_str(), &server.labels)
+            declarations.can_access_server(self.name.as_str(), group.as_str(), &server.labels)
         };
         let reach = servers.iter().filter(|(_, server)| reached(server)).map(|(key, _)| key);
         self.reach = reach.collect();
--- a/components/member/src/web.rs
+++ b/components/member/src/web.rs
@@ -59,7 +59,7 @@
     /// Another member listens there.
     Other { link: SocketAddr, name: String },
     /// The declarations have faults.
-    Faults(Vec<config::Fault>),
+    Faults(Vec<config::Violation>),
     /// The command has no effect.
     Command(control::Refusal),
     /// The membership can't be changed so.
--- a/components/telemetry/src/budget.rs
+++ b/components/telemetry/src/budget.rs
@@ -7,7 +7,7 @@
 use slog::{Drain, Level, OwnedKVList, Record, b, record};
 
 /// Records a second that are passed on, of each severity.
-pub const RECORDS: u32 = 100;
+pub const RECORDS_PER_SECOND: u32 = 100;
 
 /// Time over which records are counted.
 const WINDOW: Duration = Duration::from_secs(1);
@@ -50,7 +50,7 @@
             Level::Warning => 1,
             Level::Info | Level::Debug | Level::Trace => 2,
         };
-        let passes = window.passed[severity] < RECORDS;
+        let passes = window.passed[severity] < RECORDS_PER_SECOND;
         if passes {
             window.passed[severity] += 1;
         } else {
--- a/components/telemetry/src/cli.rs
+++ b/components/telemetry/src/cli.rs
@@ -8,7 +8,7 @@
 use crate::log::{Format, Level};
 
 /// Exit code of a wrong argument.
-pub const USAGE: u8 = 2;
+pub const USAGE_EXIT_CODE: u8 = 2;
 
 /// Width of help texts in columns.
 const COLUMNS: usize = 100;
@@ -39,7 +39,7 @@
 /// Shows a help text, a version or an error, and gives the code to exit with.
 pub fn show(failure: &ParseFailure) -> ExitCode {
     let code = match failure {
-        ParseFailure::Stderr(_) => ExitCode::from(USAGE),
+        ParseFailure::Stderr(_) => ExitCode::from(USAGE_EXIT_CODE),
         ParseFailure::Stdout(..) | ParseFailure::Completion(_) => ExitCode::SUCCESS,
     };
     failure.print_message(COLUMNS);
--- a/components/telemetry/src/event.rs
+++ b/components/telemetry/src/event.rs
@@ -208,13 +208,13 @@
 
 event! {
     /// A keeper saw something wrong with a primary, or that it is well again.
-    Sighted, "symptom of a primary",
+    Symptom, "symptom of a primary",
     /// The group.
     group: &'a Name = "group",
     /// The primary.
     server: &'a str = "server",
     /// What is wrong.
-    sight: &'a str = "sight",
+    condition: &'a str = "sight",
     /// Term of the primary.
     term: u64 = "term",
 }
--- a/components/telemetry/tests/budget.rs
+++ b/components/telemetry/tests/budget.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use slog::{Drain, Logger, Never, OwnedKVList, Record, info, o, warn};
-use telemetry::budget::{Budget, RECORDS};
+use telemetry::budget::{Budget, RECORDS_PER_SECOND};
 
 #[derive(Clone, Default)]
 struct Kept(Arc<Mutex<Vec<String>>>);
@@ -22,7 +22,7 @@
 fn a_flood_of_one_severity_hides_no_other() {
     let kept = Kept::default();
     let log = Logger::root(Budget::new(kept.clone()).fuse(), o!());
-    for _ in 0..RECORDS * 3 {
+    for _ in 0..RECORDS_PER_SECOND * 3 {
         info!(log, "ordinary");
     }
     warn!(log, "rare");
@@ -30,14 +30,14 @@
     assert!(kept.iter().any(|text| text == "rare"));
     let ordinary = kept.iter().filter(|text| *text == "ordinary").count();
     // a second may have begun anew in between
-    assert!(ordinary as u32 <= RECORDS * 2, "{ordinary}");
+    assert!(ordinary as u32 <= RECORDS_PER_SECOND * 2, "{ordinary}");
 }
 
 #[test]
 fn what_is_left_out_is_counted_in_the_log() {
     let kept = Kept::default();
     let log = Logger::root(Budget::new(kept.clone()).fuse(), o!());
-    for _ in 0..RECORDS + 5 {
+    for _ in 0..RECORDS_PER_SECOND + 5 {
         info!(log, "ordinary");
     }
     std::thread::sleep(std::time::Duration::from_millis(1_100));
--- a/components/telemetry/tests/event.rs
+++ b/components/telemetry/tests/event.rs
@@ -6,7 +6,7 @@
 use base::prelude::*;
 use serde_json::Value;
 use slog::{Drain, Logger, o};
-use telemetry::event::{Answered, Applied, Ended, Learned, Sealed, Sighted};
+use telemetry::event::{Answered, Applied, Ended, Learned, Sealed, Symptom};
 
 #[derive(Clone, Default)]
 struct Written(Arc<Mutex<Vec<u8>>>);
@@ -95,9 +95,9 @@
     });
     has(&learned, Learned::MESSAGE, Learned::FIELDS);
     let sighted = line(|log| {
-        Sighted { group: &group, server: "s1", sight: "silent", term: 2 }.log(log);
+        Symptom { group: &group, server: "s1", condition: "silent", term: 2 }.log(log);
     });
-    has(&sighted, Sighted::MESSAGE, Sighted::FIELDS);
+    has(&sighted, Symptom::MESSAGE, Symptom::FIELDS);
     let sealed = line(|log| {
         Sealed { group: &group, term: 2, mark: Some(mark), index: 7 }.log(log);
     });
--- a/components/trace/src/line.rs
+++ b/components/trace/src/line.rs
@@ -61,7 +61,7 @@
     /// Their lines, as they were read.
     pub lines: Vec<Line>,
     /// Lines that are no JSON object with a time and a message.
-    pub unread: usize,
+    pub malformed: usize,
 }
 
 impl Logs {
@@ -70,7 +70,7 @@
     pub fn read(&mut self, file: &str, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             if self.read_line(file, line).is_none() {
-                self.unread += 1;
+                self.malformed += 1;
             }
         }
     }
--- a/components/trace/src/path.rs
+++ b/components/trace/src/path.rs
@@ -21,12 +21,12 @@
 
 /// Why nothing can be told of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum FindError {
     /// No line holds its id: it was done in time, or its line was left out.
-    Unknown,
+    NotFound,
 }
 
-impl fmt::Display for Lost {
+impl fmt::Display for FindError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("no line holds this id: it was done in time, or its line was left out")
     }
@@ -67,12 +67,12 @@
     /// everywhere, and all of the processes that it went through.
     ///
     /// # Errors
-    /// [`Lost::Unknown`].
-    pub fn find(logs: &'a Logs, request: &str) -> Result<Self, Lost> {
+    /// [`FindError::NotFound`].
+    pub fn find(logs: &'a Logs, request: &str) -> Result<Self, FindError> {
         let own = |line: &&Line| line.text(REQUEST) == Some(request);
         let own: Vec<_> = logs.lines.iter().filter(own).collect();
         let answer = own.iter().find(|line| line.message == Answered::MESSAGE);
-        let reference = answer.or(own.last()).ok_or(Lost::Unknown)?;
+        let reference = answer.or(own.last()).ok_or(FindError::NotFound)?;
         let clocks = Clocks::new(logs, reference.source);
         let time = |line: &Line| clocks.time(line).unwrap_or(line.time);
         let times = || own.iter().map(|line| time(line));
--- a/components/trace/tests/path.rs
+++ b/components/trace/tests/path.rs
@@ -1,7 +1,7 @@
 //! A request's path through logs of hosts whose clocks are apart.
 
-use telemetry::event::{Answered, Applied, Ended, Learned, Sighted};
-use trace::path::Lost;
+use telemetry::event::{Answered, Applied, Ended, Learned, Symptom};
+use trace::path::FindError;
 use trace::{Clocks, Logs, Path};
 
 /// How far the clocks of a keeper and of the leader are ahead, in milliseconds.
@@ -35,8 +35,8 @@
     ];
     logs.read("front", &front.join("\n"));
     let keeper = [
-        line(700 + KEEPER, Sighted::MESSAGE, r#""group":"g1","sight":"silent""#),
-        line(701 + KEEPER, Sighted::MESSAGE, r#""group":"g2","sight":"silent""#),
+        line(700 + KEEPER, Symptom::MESSAGE, r#""group":"g1","sight":"silent""#),
+        line(701 + KEEPER, Symptom::MESSAGE, r#""group":"g2","sight":"silent""#),
         line(903 + KEEPER, Learned::MESSAGE, r#""group":"g1","index":7,"primary":null"#),
         ended(89, "early"),
         ended(1_000, "asked"),
@@ -57,14 +57,14 @@
         ),
     ];
     logs.read("leader", &leader.join("\n"));
-    logs.read("stranger", &line(800, Sighted::MESSAGE, r#""group":"g1","sight":"silent""#));
+    logs.read("stranger", &line(800, Symptom::MESSAGE, r#""group":"g1","sight":"silent""#));
     logs
 }
 
 #[test]
 fn lines_are_told_in_the_order_in_which_they_were_written() {
     let logs = logs();
-    assert_eq!(logs.unread, 0);
+    assert_eq!(logs.malformed, 0);
     let text = Path::find(&logs, "asked").unwrap().text();
     let told: Vec<_> = text.lines().collect();
     let starts = [
@@ -104,8 +104,8 @@
 fn what_is_no_line_is_counted_and_an_unknown_request_is_told() {
     let mut logs = Logs::default();
     logs.read("file", "free text\n{\"time_ms\":1}\n{\"msg\":\"x\"}\n{ cut\n\n");
-    assert_eq!(logs.unread, 4);
-    assert_eq!(Path::find(&logs, "asked").unwrap_err(), Lost::Unknown);
+    assert_eq!(logs.malformed, 4);
+    assert_eq!(Path::find(&logs, "asked").unwrap_err(), FindError::NotFound);
 }
 
 #[test]
--- a/programs/trefoil-control/src/main.rs
+++ b/programs/trefoil-control/src/main.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use cli::Command;
-use telemetry::cli::{Invalid, USAGE, show};
+use telemetry::cli::{Invalid, USAGE_EXIT_CODE, show};
 
 fn main() -> ExitCode {
     let command = match cli::command().run_inner(bpaf::Args::current_args()) {
@@ -22,7 +22,7 @@
         Err(report) => {
             eprintln!("trefoil-control: {report:#}");
             let usage = report.contains::<Invalid>();
-            if usage { ExitCode::from(USAGE) } else { ExitCode::FAILURE }
+            if usage { ExitCode::from(USAGE_EXIT_CODE) } else { ExitCode::FAILURE }
         }
     }
 }
--- a/programs/trefoil-entry/src/cmd/run.rs
+++ b/programs/trefoil-entry/src/cmd/run.rs
@@ -7,7 +7,7 @@
 use entry::front::tls::Tls;
 use link::Key;
 use slog::{error, info};
-use telemetry::cli::USAGE;
+use telemetry::cli::USAGE_EXIT_CODE;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::cli::Run;
@@ -18,7 +18,7 @@
         Ok(key) => key,
         Err(invalid) => {
             eprintln!("Error: {invalid}");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(USAGE_EXIT_CODE);
         }
     };
     let log = telemetry::logger("trefoil-entry", run.level, run.format);
--- a/programs/trefoilctl/src/cmd/path.rs
+++ b/programs/trefoilctl/src/cmd/path.rs
@@ -16,8 +16,8 @@
     let path =
         trace::Path::find(&logs, request).map_err(|lost| Report::new(Failure::Untold(lost)))?;
     print!("{}", path.text());
-    if logs.unread > 0 {
-        eprintln!("{} lines are no JSON lines of a log and were passed over", logs.unread);
+    if logs.malformed > 0 {
+        eprintln!("{} lines are no JSON lines of a log and were passed over", logs.malformed);
     }
     Ok(())
 }
--- a/programs/trefoilctl/src/failure.rs
+++ b/programs/trefoilctl/src/failure.rs
@@ -19,7 +19,7 @@
         path: PathBuf,
     },
     /// The logs tell nothing of a request.
-    Untold(trace::path::Lost),
+    Untold(trace::path::FindError),
     /// No member answered.
     Unreachable {
         /// Addresses that were tried.
