--- a/components/burn/src/html.rs
+++ b/components/burn/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML file that needs no network.
+//! The report as a single HTML file that loads nothing from the network.
 
 use std::fmt::Write as _;
 
@@ -8,12 +8,12 @@
 use crate::report::{self, FAST_BURN_RATE, Row, SLOW_BURN_RATE, WINDOWS, title};
 use crate::text;
 
-const PLOT_WIDTH: u32 = 900;
-const PLOT_HEIGHT: u32 = 360;
-const ROWS_PLOTTED: usize = 8;
-const LABEL_AREA: u32 = 50;
+const PLOT_WIDTH_PIXELS: u32 = 900;
+const PLOT_HEIGHT_PIXELS: u32 = 360;
+const MAX_PLOTTED_ROWS: usize = 8;
+const LABEL_AREA_PIXELS: u32 = 50;
 
-/// A plot that could not be drawn.
+/// The error of a plot that could not be drawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure;
 
@@ -25,10 +25,10 @@
 
 impl std::error::Error for Failure {}
 
-/// The report as HTML with a plot of burn by window.
+/// Renders the report as HTML, with a plot of the burn rates by window.
 ///
 /// # Errors
-/// [`Failure`] when the plotting library refuses.
+/// [`Failure`] if the plotting library returns an error.
 pub fn render(report: &report::Report) -> Result<String, Report<Failure>> {
     let plot = plot(&report.rows)?;
     let mut page = String::from(
@@ -47,13 +47,13 @@
     }
     page.push_str("</tr>");
     for row in &report.rows {
-        cells(&mut page, row);
+        write_row(&mut page, row);
     }
     let _ = write!(page, "</table><pre>{}</pre></body></html>", text::coverage(report));
     Ok(page)
 }
 
-fn cells(page: &mut String, row: &Row) {
+fn write_row(page: &mut String, row: &Row) {
     let goal = title(row.goal).replace('<', "&lt;");
     let _ = write!(
         page,
@@ -70,9 +70,11 @@
     page.push_str("</tr>");
 }
 
+/// Plots the burn rates of the first rows as SVG.
 fn plot(rows: &[Row]) -> Result<String, Report<Failure>> {
     let mut svg = String::new();
-    let area = SVGBackend::with_string(&mut svg, (PLOT_WIDTH, PLOT_HEIGHT)).into_drawing_area();
+    let area = SVGBackend::with_string(&mut svg, (PLOT_WIDTH_PIXELS, PLOT_HEIGHT_PIXELS))
+        .into_drawing_area();
     draw(&area, rows).map_err(|error| Report::new(Failure).attach(error.to_string()))?;
     drop(area);
     Ok(svg)
@@ -87,15 +89,15 @@
     let minutes = WINDOWS.map(|window| window.length().as_secs_f64() / 60.0);
     let mut chart = ChartBuilder::on(area)
         .caption("burn by window (minutes); lines at the alarms", ("sans-serif", 16))
-        .x_label_area_size(LABEL_AREA)
-        .y_label_area_size(LABEL_AREA)
+        .x_label_area_size(LABEL_AREA_PIXELS)
+        .y_label_area_size(LABEL_AREA_PIXELS)
         .build_cartesian_2d(0.0..minutes[WINDOWS.len() - 1], 0.0..highest * 1.1)?;
     chart.configure_mesh().draw()?;
     for limit in [FAST_BURN_RATE, SLOW_BURN_RATE] {
         let ends = [0.0, minutes[WINDOWS.len() - 1]].map(|minute| (minute, limit));
         chart.draw_series(LineSeries::new(ends, &BLACK.mix(0.4)))?;
     }
-    for (index, row) in rows.iter().take(ROWS_PLOTTED).enumerate() {
+    for (index, row) in rows.iter().take(MAX_PLOTTED_ROWS).enumerate() {
         let color = Palette99::pick(index).to_rgba();
         let points = minutes.into_iter().zip(row.burn);
         let label = format!("{} {}", row.service, title(row.goal));
--- a/components/burn/src/ledger.rs
+++ b/components/burn/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What one entry counts, and the page that it shows.
+//! The counts of one entry, and the page on which the entry serves them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,28 +13,32 @@
 
 use crate::series::Series;
 
-/// Significant decimal digits of a latency.
-const DIGITS: u8 = 2;
+/// Significant decimal digits of a recorded latency.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_MICROS: u64 = 600_000_000;
+/// Largest latency that the histogram records, in microseconds. Larger ones are
+/// recorded as this value.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
 /// A request that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
     /// Time from the request to the end of its answer.
     pub latency: Duration,
-    /// Whether it was done, be it with the server's own error.
+    /// Whether the request was done. An error that the server itself returned counts
+    /// as done.
     pub done: bool,
-    /// Whether it was a write; pauses are counted on these.
+    /// Whether the request was a write. Failover gaps are measured on writes only.
     pub write: bool,
-    /// Bound on the age of what a read saw; `None` where it saw nothing.
+    /// Upper bound on the age of the data that a read returned; `None` if no data was
+    /// read.
     pub age: Option<Duration>,
 }
 
 impl Event {
-    /// Whether the event counts for a measure, and if so whether it was good.
-    fn good(self, objective: &Objective) -> Option<bool> {
+    /// Whether the request was good by an objective; `None` if the objective doesn't
+    /// count it.
+    fn is_good(self, objective: &Objective) -> Option<bool> {
         let limit = Duration::from_millis(objective.within_ms);
         match objective.measure {
             Measure::Latency => Some(self.done && self.latency <= limit),
@@ -45,12 +49,13 @@
     }
 }
 
-/// What an objective is told apart by: a new limit starts a new count.
+/// Identity of an objective's counts. An objective whose limit changes starts a new
+/// count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Goal {
-    /// What is counted.
+    /// Measure of the objective.
     pub measure: Measure,
-    /// Limit of a good request in milliseconds.
+    /// Limit up to which a request is good, in milliseconds.
     pub within_ms: u64,
 }
 
@@ -61,6 +66,7 @@
     }
 }
 
+/// Counts and latencies of one service.
 #[derive(Clone, Debug)]
 struct Account {
     goals: Vec<(Goal, Series)>,
@@ -73,36 +79,36 @@
     accounts: BTreeMap<Name, Account>,
 }
 
-/// A goal's counts on a page.
+/// Counts of a service's goal on a page.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Service that is counted.
+    /// Service whose requests are counted.
     pub service: Name,
-    /// The goal.
+    /// Goal by which requests are counted.
     pub goal: Goal,
-    /// Its counts.
+    /// Good and bad requests over time.
     pub series: Series,
 }
 
-/// A service's latencies on a page.
+/// Latencies of a service on a page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Latency {
-    /// Service that is measured.
+    /// Service whose requests are measured.
     pub service: Name,
-    /// Histogram of microseconds in the V2 form of hdrhistogram.
+    /// Histogram of latencies in microseconds, in the V2 format of hdrhistogram.
     pub histogram: Vec<u8>,
 }
 
-/// All that one entry has counted.
+/// All counts of one entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// The entry.
+    /// Name of the entry.
     pub entry: Name,
-    /// Raised by each start of the entry.
+    /// Incarnation of the entry, which increases with each start.
     pub incarnation: u64,
-    /// Microseconds since the entry started; it counted nothing before.
+    /// Time since the entry started, in microseconds. Earlier requests aren't counted.
     pub age_micros: u64,
-    /// Counts by goal.
+    /// Counts by service and goal.
     pub lines: Vec<Line>,
     /// Latencies by service.
     pub latencies: Vec<Latency>,
@@ -120,10 +126,10 @@
             return;
         }
         let account = self.accounts.entry(service.clone()).or_insert_with(Account::new);
-        let micros = (event.latency.as_micros() as u64).clamp(1, LONGEST_MICROS);
+        let micros = (event.latency.as_micros() as u64).clamp(1, MAX_LATENCY_MICROS);
         account.latency.saturating_record(micros);
         for objective in objectives {
-            if let Some(good) = event.good(objective) {
+            if let Some(good) = event.is_good(objective) {
                 account.series(Goal::of(objective)).record(now, good);
             }
         }
@@ -136,20 +142,20 @@
         }
     }
 
-    /// Forgets what is declared no more, so that memory stays bounded by the
-    /// declarations.
+    /// Removes the counts of services and objectives that are no longer declared, so
+    /// that the declarations bound the memory.
     pub fn retain(&mut self, declarations: &Declarations) {
         self.accounts.retain(|service, account| {
             let Some(declared) = declarations.services.get(service) else {
                 return false;
             };
-            let stands = |goal: Goal| declared.objectives.iter().any(|o| Goal::of(o) == goal);
-            account.goals.retain(|(goal, _)| stands(*goal));
+            let is_declared = |goal: Goal| declared.objectives.iter().any(|o| Goal::of(o) == goal);
+            account.goals.retain(|(goal, _)| is_declared(*goal));
             !account.goals.is_empty()
         });
     }
 
-    /// The page that the entry shows.
+    /// The page that the entry serves.
     pub fn page(&self, now: Instant, entry: &Name, incarnation: u64) -> Page {
         let mut lines = Vec::new();
         let mut latencies = Vec::new();
@@ -158,7 +164,8 @@
                 let series = series.clone();
                 lines.push(Line { service: service.clone(), goal: *goal, series });
             }
-            latencies.push(Latency { service: service.clone(), histogram: account.encoded() });
+            latencies
+                .push(Latency { service: service.clone(), histogram: account.encoded_latency() });
         }
         Page { entry: entry.clone(), incarnation, age_micros: now.as_micros(), lines, latencies }
     }
@@ -166,7 +173,7 @@
 
 impl Account {
     fn new() -> Self {
-        let latency = Histogram::new_with_bounds(1, LONGEST_MICROS, DIGITS)
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
             .expect("the bounds and digits are within what the histogram allows");
         Self { goals: Vec::new(), latency }
     }
@@ -179,6 +186,7 @@
         added.expect("all histograms of a ledger have the same bounds");
     }
 
+    /// The counts of a goal, which start empty.
     fn series(&mut self, goal: Goal) -> &mut Series {
         let found = self.goals.iter().position(|(known, _)| *known == goal);
         let index = found.unwrap_or_else(|| {
@@ -188,7 +196,8 @@
         &mut self.goals[index].1
     }
 
-    fn encoded(&self) -> Vec<u8> {
+    /// The histogram of latencies in the V2 format of hdrhistogram.
+    fn encoded_latency(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let written = V2Serializer::new().serialize(&self.latency, &mut bytes);
         written.expect("writing to memory does not fail");
--- a/components/burn/src/lib.rs
+++ b/components/burn/src/lib.rs
@@ -1,9 +1,9 @@
-//! The report on service-level burn.
+//! Error budgets and burn rates of service-level objectives.
 //!
-//! Each entry keeps a [`Ledger`]: for each service and objective, how many
-//! requests were good and bad, by minute and by hour. Its [`Page`] goes to who
-//! asks; [`Report`] merges the pages of all entries and computes the budget
-//! that is left and how fast it burns over long and short windows.
+//! Each entry keeps a [`Ledger`]: the number of good and bad requests of each
+//! service and objective, by minute and by hour. The entry serves these counts as
+//! a [`Page`]. A [`Report`] merges the pages of all entries, and computes the
+//! remaining error budget and the burn rate over long and short windows.
 
 pub mod html;
 pub mod ledger;
--- a/components/burn/src/report.rs
+++ b/components/burn/src/report.rs
@@ -1,9 +1,11 @@
-//! The merged report: budget left and burn, worst first.
+//! The report merged from all entries: remaining error budget and burn rates, the
+//! objective with the least remaining budget first.
 //!
-//! Burn is the share of bad requests over a window divided by the share that
-//! the objective allows: at 1 the budget lasts exactly its period. By the
-//! multi-window method an alert needs both a long and a short window to burn
-//! fast, so that it starts soon and ends soon.
+//! The burn rate is the share of bad requests in a window, divided by the share
+//! that the objective allows. At a burn rate of 1 the error budget lasts exactly
+//! its period. Alarms follow the multi-window method: the burn rate must reach the
+//! limit over both a long and a short window, so that an alarm starts soon and ends
+//! soon.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,20 +21,21 @@
 use crate::ledger::{Goal, Page};
 use crate::series::Count;
 
-/// Period that a budget is meant to last.
+/// Period of an error budget.
 pub const BUDGET_PERIOD: Duration = Duration::from_hours(30 * 24);
 
 /// Windows of the report, shortest first.
 pub const WINDOWS: [Window; 4] =
     [Window::FiveMinutes, Window::HalfHour, Window::Hour, Window::SixHours];
 
-/// Burn over an hour and five minutes that needs a person at once.
+/// Burn rate over an hour and over five minutes at which a person must act at once.
 pub const FAST_BURN_RATE: f64 = 14.4;
 
-/// Burn over six hours and half an hour that needs a person today.
+/// Burn rate over six hours and over half an hour at which a person must act within
+/// the day.
 pub const SLOW_BURN_RATE: f64 = 6.0;
 
-/// A window of the report.
+/// Window over which a burn rate is computed.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
@@ -53,7 +56,7 @@
 }
 
 impl Window {
-    /// Its length.
+    /// Length of the window.
     pub const fn length(self) -> Duration {
         let minutes = match self {
             Self::FiveMinutes => 5,
@@ -65,64 +68,66 @@
     }
 }
 
-/// How urgent a row is.
+/// Urgency of a row, in increasing order.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
 #[serde(rename_all = "lowercase")]
 #[strum(serialize_all = "lowercase")]
 pub enum Alarm {
-    /// The budget lasts.
+    /// No limit is reached over both of its windows: the budget lasts.
     None,
-    /// It burns slowly but too fast.
+    /// The burn rate reaches [`SLOW_BURN_RATE`] over six hours and over half an hour.
     Slow,
-    /// It will be gone within days.
+    /// The burn rate reaches [`FAST_BURN_RATE`] over an hour and over five minutes. The
+    /// budget will be gone within days.
     Fast,
 }
 
-/// One objective of one service.
+/// Row of the report: an objective of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The goal.
+    /// Measure and limit of the objective.
     pub goal: Goal,
-    /// Share that must be good.
+    /// Share of requests that must be good, from 0 to 1.
     pub target: f64,
-    /// Requests of the period.
+    /// Good and bad requests within [`BUDGET_PERIOD`].
     pub count: Count,
-    /// Share of the period's budget that is left; negative when overspent.
+    /// Share of the error budget that is left; negative if the budget is exceeded.
     pub budget_left: f64,
-    /// Burn by window, in the order of [`WINDOWS`].
+    /// Burn rate of each window, in the order of [`WINDOWS`].
     pub burn: [f64; WINDOWS.len()],
-    /// How urgent it is.
+    /// Urgency of the row.
     pub alarm: Alarm,
-    /// Latency of the service at the median, in microseconds.
+    /// Median latency of the service, in microseconds.
     pub p50_micros: u64,
-    /// Latency of the service at the 99th percentile, in microseconds.
+    /// 99th percentile of the service's latency, in microseconds.
     pub p99_micros: u64,
 }
 
 /// An entry whose page is part of the report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Source {
-    /// The entry.
+    /// Name of the entry.
     pub entry: Name,
-    /// Seconds since it started; what came before is not counted.
+    /// Time since the entry started, in seconds. Earlier requests aren't counted.
     pub since_s: u64,
 }
 
-/// The merged report.
+/// The report merged from the pages of all entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Objectives, the one with the least budget left first.
+    /// Rows, the one with the least remaining budget first.
     pub rows: Vec<Row>,
-    /// Entries that were asked and answered.
+    /// Entries that returned a page.
     pub sources: Vec<Source>,
-    /// Entries that live but gave no page.
+    /// Names of the live entries that returned no page.
     pub missing: Vec<Name>,
 }
 
+/// Counts of a goal, summed over all entries.
 #[derive(Default)]
 struct Sum {
     period: Count,
@@ -130,7 +135,7 @@
 }
 
 impl Report {
-    /// Merges the pages of all entries; `missing` names those without one.
+    /// Merges the pages of all entries. `missing` lists the entries without a page.
     pub fn merge(declarations: &Declarations, pages: &[Page], missing: Vec<Name>) -> Self {
         let latencies = latencies(pages);
         let mut rows = Vec::new();
@@ -154,12 +159,12 @@
         Self { rows, sources: pages.iter().map(source).collect(), missing }
     }
 
-    /// The most urgent alarm.
+    /// The most urgent alarm of all rows.
     pub fn alarm(&self) -> Alarm {
         self.rows.iter().map(|row| row.alarm).max().unwrap_or(Alarm::None)
     }
 
-    /// Shortest time that any entry has counted for, in seconds.
+    /// Shortest time since the start of any entry, in seconds; zero without entries.
     pub fn covered_s(&self) -> u64 {
         self.sources.iter().map(|source| source.since_s).min().unwrap_or(0)
     }
@@ -204,11 +209,13 @@
     }
 }
 
+/// Merges the latency histograms of all pages, by service.
 fn latencies(pages: &[Page]) -> BTreeMap<Name, Histogram<u64>> {
     let mut merged: BTreeMap<Name, Histogram<u64>> = BTreeMap::new();
     let mut reader = Deserializer::new();
     for latency in pages.iter().flat_map(|page| &page.latencies) {
-        // a page of another release may hold a form unknown here; its counts still stand
+        // the page of another release may hold a histogram in an unknown format; its
+        // counts are still valid
         let Ok(histogram) = reader.deserialize::<u64, _>(&mut latency.histogram.as_slice()) else {
             continue;
         };
@@ -224,7 +231,7 @@
     merged
 }
 
-/// The name of a measure with its limit, for people.
+/// Title of a goal in the report: the name of the measure, and its limit.
 pub fn title(goal: Goal) -> String {
     match goal.measure {
         Measure::Answered => goal.measure.to_string(),
--- a/components/burn/src/text.rs
+++ b/components/burn/src/text.rs
@@ -1,4 +1,4 @@
-//! The report for a terminal.
+//! The report as text for a terminal.
 
 use comfy_table::{Table, presets};
 
@@ -6,16 +6,16 @@
 
 const MICROS_PER_MS: f64 = 1_000.0;
 
-/// The report as a table and the lines that say what it covers.
+/// Renders the report as a table, followed by the lines of [`coverage`].
 pub fn render(report: &Report) -> String {
     let mut table = Table::new();
     table.load_style(presets::UTF8_HORIZONTAL_ONLY);
-    let mut head = ["service", "objective", "target", "requests", "budget left", "alarm"]
+    let mut header = ["service", "objective", "target", "requests", "budget left", "alarm"]
         .map(str::to_owned)
         .to_vec();
-    head.extend(WINDOWS.map(|window| format!("burn {window}")));
-    head.extend(["p50 ms", "p99 ms"].map(str::to_owned));
-    table.set_header(head);
+    header.extend(WINDOWS.map(|window| format!("burn {window}")));
+    header.extend(["p50 ms", "p99 ms"].map(str::to_owned));
+    table.set_header(header);
     for row in &report.rows {
         let mut cells = vec![
             row.service.to_string(),
@@ -33,7 +33,8 @@
     format!("{table}\n{}", coverage(report))
 }
 
-/// What the counts cover, in words.
+/// Lines that state how many entries and how much time the counts cover, and which
+/// entries are missing.
 pub fn coverage(report: &Report) -> String {
     let counted = format!(
         "{} entries counted; each has counted for at least {} s of the 30 days\n",
--- a/components/burn/tests/burn.rs
+++ b/components/burn/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Budgets and burn from the pages of several entries.
+//! Error budgets and burn rates from the pages of several entries.
 
 use base::prelude::*;
 use burn::report::Alarm;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn forgets_minutes_but_keeps_hours() {
+fn drops_minutes_but_keeps_hours() {
     let ledger = ledger(0, 5, minute(0));
     let page = ledger.page(minute(60 * 24), &name("a"), 1);
     let report = Report::merge(&declarations(), &[page], vec![]);
@@ -90,34 +90,34 @@
 }
 
 #[test]
-fn survives_the_way_through_json() {
+fn round_trips_through_json() {
     let page = ledger(3, 2, minute(1)).page(minute(2), &name("a"), 1);
-    let text = serde_json::to_string(&page).expect("a page is written");
-    let read: burn::Page = serde_json::from_str(&text).expect("a page is read");
+    let text = serde_json::to_string(&page).expect("a page can be serialized");
+    let read: burn::Page = serde_json::from_str(&text).expect("a serialized page can be parsed");
     assert_eq!(read, page);
 }
 
 #[test]
 fn merges_shards_as_if_counted_in_one() {
-    let mut whole = Ledger::new();
+    let mut single = Ledger::new();
     let mut shards = [Ledger::new(), Ledger::new()];
     let objectives = [objective()];
     for index in 0..12 {
-        // each shard counts once in a minute, so the shards share minutes
+        // both shards record an event in each minute used, so their buckets overlap
         let (at, event) = (minute(index / 2 * 150), event(index * 30));
         shards[index as usize % 2].record(at, &name("tags"), &objectives, event);
-        whole.record(at, &name("tags"), &objectives, event);
+        single.record(at, &name("tags"), &objectives, event);
     }
     let mut merged = Ledger::new();
     for shard in shards.iter().rev() {
         merged.merge(shard);
     }
     let (at, entry) = (minute(5_000), name("a"));
-    assert_eq!(merged.page(at, &entry, 1), whole.page(at, &entry, 1));
+    assert_eq!(merged.page(at, &entry, 1), single.page(at, &entry, 1));
 }
 
 #[test]
-fn forgets_objectives_that_are_declared_no_more() {
+fn removes_objectives_that_are_no_longer_declared() {
     let mut ledger = ledger(3, 2, minute(1));
     let other = Objective { within_ms: 7, ..objective() };
     ledger.record(minute(1), &name("tags"), &[other], event(1));
--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Whether declarations make sense as a whole.
+//! Validation of declarations as a whole.
 
 use std::fmt;
 
@@ -7,42 +7,43 @@
 
 use crate::model::{Class, Declarations, Limits, Measure, Selector, Service};
 
-/// Most servers that a group may declare.
+/// Largest number of servers that a group may declare.
 pub const MAX_SERVERS: u32 = 15;
 
-/// What is wrong with declarations.
+/// A rule that declarations violate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Violation {
-    /// They can't be read.
+    /// The text can't be parsed as declarations or as a patch.
     Syntax {
-        /// What the reader says.
+        /// Error message of the parser.
         text: String,
     },
     /// A value is not allowed.
     Value {
         /// Names of the tables and the key, outermost first.
         path: Vec<String>,
-        /// What is allowed.
+        /// Values that are allowed there.
         allowed: Allowed,
     },
 }
 
-/// What a value must be.
+/// Values that a key allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Allowed {
-    /// From 1 to [`MAX_SERVERS`].
+    /// A whole number from 1 to [`MAX_SERVERS`].
     Servers,
-    /// At least 1.
+    /// A whole number of at least 1.
     Positive,
-    /// From 0 to 1.
+    /// A number from 0 to 1.
     Share,
     /// The name of a declared group.
     DeclaredGroup,
-    /// Only measures with a limit take one, and they need it.
+    /// A limit of at least 1 for a measure that needs a limit, and none for a measure
+    /// without one.
     Limit,
-    /// Only reads accept an age or have patience.
+    /// Zero, except for the class [`Class::Read`].
     ReadOnly,
-    /// A beginning of a statement, not empty.
+    /// A statement prefix that isn't blank.
     Statement,
 }
 
@@ -74,12 +75,14 @@
 
 impl std::error::Error for Violation {}
 
+/// Violations found so far.
 #[derive(Default)]
 struct Violations(Vec<Violation>);
 
 impl Violations {
-    fn check(&mut self, right: bool, path: &[&str], allowed: Allowed) {
-        if !right {
+    /// Adds a violation at `path` unless the value is valid.
+    fn check(&mut self, valid: bool, path: &[&str], allowed: Allowed) {
+        if !valid {
             let path = path.iter().map(|&part| part.to_owned()).collect();
             self.0.push(Violation::Value { path, allowed });
         }
@@ -87,12 +90,12 @@
 }
 
 impl Declarations {
-    /// All that is wrong with them.
+    /// All rules that the declarations violate; empty if they are valid.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Violations::default();
         for (name, group) in &self.groups {
-            let right = (1..=MAX_SERVERS).contains(&group.servers);
-            violations.check(right, &["groups", name.as_str(), "servers"], Allowed::Servers);
+            let valid = (1..=MAX_SERVERS).contains(&group.servers);
+            violations.check(valid, &["groups", name.as_str(), "servers"], Allowed::Servers);
         }
         for (name, service) in &self.services {
             check_service(&mut violations, name, service);
@@ -114,9 +117,9 @@
 
     fn check_selector(&self, violations: &mut Violations, name: &Name, selector: &Selector) {
         for group in &selector.groups {
-            let right = self.groups.contains_key(group);
+            let valid = self.groups.contains_key(group);
             violations.check(
-                right,
+                valid,
                 &["selectors", name.as_str(), "groups"],
                 Allowed::DeclaredGroup,
             );
@@ -130,9 +133,9 @@
                 &path("patience_ms"),
                 Allowed::ReadOnly,
             );
-            let blank = |statement: &String| statement.trim().is_empty();
-            let right = !kind.statements.iter().any(blank);
-            violations.check(right, &path("statements"), Allowed::Statement);
+            let is_blank = |statement: &String| statement.trim().is_empty();
+            let valid = !kind.statements.iter().any(is_blank);
+            violations.check(valid, &path("statements"), Allowed::Statement);
         }
     }
 }
@@ -145,9 +148,9 @@
         let index = index.to_string();
         let path = |key| ["services", name, "objectives", index.as_str(), key];
         violations.check(is_share(objective.target), &path("target"), Allowed::Share);
-        let limited = objective.measure != Measure::Answered;
-        let right = limited == (objective.within_ms > 0);
-        violations.check(right, &path("within_ms"), Allowed::Limit);
+        let needs_limit = objective.measure != Measure::Answered;
+        let valid = needs_limit == (objective.within_ms > 0);
+        violations.check(valid, &path("within_ms"), Allowed::Limit);
     }
 }
 
--- a/components/config/src/diff.rs
+++ b/components/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations.
+//! Differences between the groups, services and selectors of two configurations.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 
 use crate::model::Declarations;
 
-/// A kind of declaration.
+/// Table of the declarations that a change belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, strum::Display)]
 #[serde(rename_all = "lowercase")]
 #[strum(serialize_all = "lowercase")]
@@ -21,33 +21,34 @@
     Selectors,
 }
 
-/// What happened to a declaration or one of its keys.
+/// Change of the value of a declaration or of one of its keys.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Step {
-    /// It is new.
+    /// The declaration or key is new, with this value.
     Added(Value),
-    /// It is gone.
+    /// The declaration or key, which had this value, was removed.
     Removed(Value),
-    /// It has another value.
+    /// The value changed.
     Changed {
-        /// The value before.
+        /// Value in the old configuration.
         from: Value,
-        /// The value after.
+        /// Value in the new configuration.
         to: Value,
     },
 }
 
-/// One difference.
+/// A difference between two configurations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Change {
-    /// Kind of the declaration.
+    /// Table that holds the declaration.
     pub table: Table,
-    /// Its name.
+    /// Name of the declaration.
     pub name: Name,
-    /// Key within it, outermost first; empty for the whole declaration.
+    /// Path of the key within the declaration, outermost first; empty if the whole
+    /// declaration was added or removed.
     pub key: Vec<String>,
-    /// What happened.
+    /// Change of the value.
     pub step: Step,
 }
 
@@ -69,7 +70,7 @@
     }
 }
 
-/// All differences, by table and name.
+/// All differences, ordered by table and name.
 pub fn diff(from: &Declarations, to: &Declarations) -> Vec<Change> {
     let mut changes = Vec::new();
     for table in [Table::Groups, Table::Services, Table::Selectors] {
@@ -81,33 +82,38 @@
             let find = |all: &[(Name, Value)]| {
                 all.iter().find(|(other, _)| other == name).map(|(_, value)| value.clone())
             };
-            let place = Place { table, name, key: Vec::new() };
-            compare(&place, find(&from), find(&to), &mut changes);
+            let location = Location { table, name, key: Vec::new() };
+            compare(&location, find(&from), find(&to), &mut changes);
         }
     }
     changes
 }
 
-struct Place<'a> {
+/// Path of a declaration or of one of its keys.
+struct Location<'a> {
     table: Table,
     name: &'a Name,
     key: Vec<String>,
 }
 
+/// The declarations of a table as JSON values, ordered by name.
 fn values(declarations: &Declarations, table: Table) -> Vec<(Name, Value)> {
     match table {
-        Table::Groups => each(&declarations.groups),
-        Table::Services => each(&declarations.services),
-        Table::Selectors => each(&declarations.selectors),
+        Table::Groups => to_values(&declarations.groups),
+        Table::Services => to_values(&declarations.services),
+        Table::Selectors => to_values(&declarations.selectors),
     }
 }
 
-fn each<T: Serialize>(all: &std::collections::BTreeMap<Name, T>) -> Vec<(Name, Value)> {
-    let value = |one| serde_json::to_value(one).expect("declarations hold nothing that JSON can't");
-    all.iter().map(|(name, one)| (name.clone(), value(one))).collect()
+fn to_values<T: Serialize>(all: &std::collections::BTreeMap<Name, T>) -> Vec<(Name, Value)> {
+    let value = |declaration| {
+        serde_json::to_value(declaration).expect("declarations can be represented as JSON")
+    };
+    all.iter().map(|(name, declaration)| (name.clone(), value(declaration))).collect()
 }
 
-fn compare(place: &Place<'_>, from: Option<Value>, to: Option<Value>, out: &mut Vec<Change>) {
+/// Adds the differences between two values, key by key where both are tables.
+fn compare(location: &Location<'_>, from: Option<Value>, to: Option<Value>, out: &mut Vec<Change>) {
     let step = match (from, to) {
         (from, to) if from == to => return,
         (Some(Value::Object(from)), Some(Value::Object(to))) => {
@@ -115,10 +121,10 @@
             keys.sort();
             keys.dedup();
             for key in keys {
-                let mut path = place.key.clone();
+                let mut path = location.key.clone();
                 path.push(key.clone());
-                let place = Place { key: path, ..*place };
-                compare(&place, from.get(key).cloned(), to.get(key).cloned(), out);
+                let location = Location { key: path, ..*location };
+                compare(&location, from.get(key).cloned(), to.get(key).cloned(), out);
             }
             return;
         }
@@ -127,5 +133,10 @@
         (Some(from), Some(to)) => Step::Changed { from, to },
         (None, None) => return,
     };
-    out.push(Change { table: place.table, name: place.name.clone(), key: place.key.clone(), step });
+    out.push(Change {
+        table: location.table,
+        name: location.name.clone(),
+        key: location.key.clone(),
+        step,
+    });
 }
--- a/components/config/src/files.rs
+++ b/components/config/src/files.rs
@@ -1,10 +1,11 @@
-//! Declarations as operators write them: a directory of TOML files.
+//! Reads declarations from a directory of TOML files, as operators write them.
 //!
 //! Each file may hold `[groups.NAME]`, `[services.NAME]` and
-//! `[selectors.NAME]`; keys are those of [`crate::model`], times are whole
-//! milliseconds under keys that end in `_ms`. Files are read in the order of
-//! their names and make one whole; a name may stand in one file only. A violation
-//! in any file fails the whole, and each is told with its file, line and key.
+//! `[selectors.NAME]`. The keys are those of [`crate::model`]; times are whole
+//! milliseconds under keys that end in `_ms`. The files are read in the order of
+//! their names and merged; each name may be declared in one file only. A problem
+//! in any file makes the whole directory invalid, and every problem is reported
+//! with its file, line and key.
 
 use std::fmt;
 use std::ops::Range;
@@ -16,24 +17,24 @@
 use crate::check::Violation;
 use crate::model::Declarations;
 
-/// What is wrong with a place in a file.
+/// A problem with a directory, a file, or a key in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Problem {
     /// The directory or file can't be read.
     Unreadable(std::io::ErrorKind),
     /// The directory holds no file whose name ends in `.toml`.
     Empty,
-    /// The text is no TOML, or a key or value is not known.
+    /// The text isn't valid TOML, or a key or value is unknown.
     Malformed {
-        /// What is expected there.
+        /// Error message of the TOML parser.
         text: String,
     },
-    /// The name is declared by another file too.
+    /// The name is declared in another file too.
     Duplicate {
-        /// The other file.
+        /// Path of the other file.
         other: PathBuf,
     },
-    /// The value is not allowed.
+    /// The value violates a rule of the declarations.
     Violation(Violation),
 }
 
@@ -50,16 +51,18 @@
     }
 }
 
-/// A problem and its place.
+/// A problem and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The file or directory.
+    /// Path of the file or directory.
     pub file: PathBuf,
-    /// Line in the file, from 1; zero when the whole file is meant.
+    /// Line in the file, counted from 1; zero if the problem concerns the whole
+    /// file or directory.
     pub line: usize,
-    /// Names of the tables and the key, joined by dots; may be empty.
+    /// Names of the tables and the key, joined by dots; empty if the problem
+    /// concerns no key.
     pub key: String,
-    /// What is wrong there.
+    /// The problem.
     pub problem: Problem,
 }
 
@@ -76,7 +79,7 @@
     }
 }
 
-/// All that is wrong with a directory.
+/// All problems of a directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problems(pub Vec<Diagnostic>);
 
@@ -91,33 +94,36 @@
 
 impl std::error::Error for Problems {}
 
+/// A file that was parsed.
 struct File {
     path: PathBuf,
     text: String,
     declarations: Declarations,
 }
 
-/// Reads and checks all files of a directory.
+/// Reads, merges and validates all files of a directory.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All problems of the directory.
 pub fn read(directory: &Path) -> Result<Declarations, Problems> {
     let mut problems = Vec::new();
     let files = read_files(directory, &mut problems);
-    let mut whole = Declarations::default();
+    let mut merged = Declarations::default();
     for (index, file) in files.iter().enumerate() {
-        merge(&mut whole, file, &files[..index], &mut problems);
+        merge(&mut merged, file, &files[..index], &mut problems);
     }
     if problems.is_empty() {
         problems.extend(
-            whole.violations().into_iter().map(|violation| locate(&files, directory, violation)),
+            merged.violations().into_iter().map(|violation| locate(&files, directory, violation)),
         );
     }
-    if problems.is_empty() { Ok(whole) } else { Err(Problems(problems)) }
+    if problems.is_empty() { Ok(merged) } else { Err(Problems(problems)) }
 }
 
+/// Reads and parses all files of a directory, and adds a problem for each file that
+/// fails.
 fn read_files(directory: &Path, problems: &mut Vec<Diagnostic>) -> Vec<File> {
-    let whole = |file: &Path, problem| Diagnostic {
+    let diagnostic = |file: &Path, problem| Diagnostic {
         file: file.to_owned(),
         line: 0,
         key: String::new(),
@@ -126,26 +132,27 @@
     let paths = match paths(directory) {
         Ok(paths) => paths,
         Err(error) => {
-            problems.push(whole(directory, Problem::Unreadable(error.kind())));
+            problems.push(diagnostic(directory, Problem::Unreadable(error.kind())));
             return Vec::new();
         }
     };
     if paths.is_empty() {
-        problems.push(whole(directory, Problem::Empty));
+        problems.push(diagnostic(directory, Problem::Empty));
     }
     let mut files = Vec::new();
     for path in paths {
         match std::fs::read_to_string(&path) {
             Ok(text) => match parse(&path, &text) {
                 Ok(declarations) => files.push(File { path, text, declarations }),
-                Err(diagnostic) => problems.push(diagnostic),
+                Err(malformed) => problems.push(malformed),
             },
-            Err(error) => problems.push(whole(&path, Problem::Unreadable(error.kind()))),
+            Err(error) => problems.push(diagnostic(&path, Problem::Unreadable(error.kind()))),
         }
     }
     files
 }
 
+/// Paths of the TOML files in a directory, sorted.
 fn paths(directory: &Path) -> std::io::Result<Vec<PathBuf>> {
     let mut paths = Vec::new();
     for entry in std::fs::read_dir(directory)? {
@@ -165,16 +172,16 @@
             .map(|table| key_at(table.get_ref(), offset).join("."))
             .unwrap_or_default();
         let problem = Problem::Malformed { text: error.message().to_owned() };
-        Diagnostic { file: path.to_owned(), line: line(text, offset), key, problem }
+        Diagnostic { file: path.to_owned(), line: line_number(text, offset), key, problem }
     })
 }
 
-/// Line of an offset, from 1.
-fn line(text: &str, offset: usize) -> usize {
+/// Number of the line that holds a byte offset, counted from 1.
+fn line_number(text: &str, offset: usize) -> usize {
     text.bytes().take(offset).filter(|&byte| byte == b'\n').count() + 1
 }
 
-/// Names of the tables and the key that hold an offset.
+/// Names of the tables and the key at a byte offset, outermost first.
 fn key_at(table: &DeTable<'_>, offset: usize) -> Vec<String> {
     let holds = |span: Range<usize>| span.contains(&offset);
     for (key, value) in table {
@@ -190,29 +197,32 @@
     Vec::new()
 }
 
-fn merge(whole: &mut Declarations, file: &File, before: &[File], problems: &mut Vec<Diagnostic>) {
+/// Adds the declarations of a file to `merged`, and a problem for each name that one
+/// of the `earlier` files declares too.
+fn merge(merged: &mut Declarations, file: &File, earlier: &[File], problems: &mut Vec<Diagnostic>) {
     let own = &file.declarations;
-    let mut check = |table: &str, name: &Name, taken: bool| {
-        if taken {
+    let mut check = |table: &str, name: &Name, is_duplicate: bool| {
+        if is_duplicate {
             let path = [table.to_owned(), name.to_string()];
-            let other = before.iter().find(|other| span(&other.text, &path).1 == path.len());
+            let other = earlier.iter().find(|other| find_key(&other.text, &path).1 == path.len());
             let other = other.map_or_else(PathBuf::new, |other| other.path.clone());
-            problems.push(place(file, &path, Problem::Duplicate { other }));
+            problems.push(diagnose(file, &path, Problem::Duplicate { other }));
         }
     };
     for (name, group) in &own.groups {
-        check("groups", name, whole.groups.insert(name.clone(), group.clone()).is_some());
+        check("groups", name, merged.groups.insert(name.clone(), group.clone()).is_some());
     }
     for (name, service) in &own.services {
-        check("services", name, whole.services.insert(name.clone(), service.clone()).is_some());
+        check("services", name, merged.services.insert(name.clone(), service.clone()).is_some());
     }
     for (name, selector) in &own.selectors {
-        check("selectors", name, whole.selectors.insert(name.clone(), selector.clone()).is_some());
+        check("selectors", name, merged.selectors.insert(name.clone(), selector.clone()).is_some());
     }
 }
 
-/// Offset of the deepest part of a path that a text has, and its depth.
-fn span(text: &str, path: &[String]) -> (usize, usize) {
+/// Byte offset of the deepest part of a path that a text holds, and the depth of that
+/// part. The depth is the number of parts found; zero if the text holds none.
+fn find_key(text: &str, path: &[String]) -> (usize, usize) {
     let Ok(root) = DeTable::parse(text) else {
         return (0, 0);
     };
@@ -226,15 +236,21 @@
         found = (key.span().start, depth + 1);
         match value.get_ref() {
             DeValue::Table(inner) => table = inner,
-            DeValue::Array(items) => return item(items, &path[depth + 1..], found),
+            DeValue::Array(items) => return find_in_array(items, &path[depth + 1..], found),
             _ => return found,
         }
     }
     found
 }
 
-/// The same within an array of tables.
-fn item(items: &toml::de::DeArray<'_>, path: &[String], array: (usize, usize)) -> (usize, usize) {
+/// Offset and depth, as in [`find_key`], of a path that continues in an array of
+/// tables: `path` starts with an index, and `array` is the offset and depth of the
+/// array itself.
+fn find_in_array(
+    items: &toml::de::DeArray<'_>,
+    path: &[String],
+    array: (usize, usize),
+) -> (usize, usize) {
     let index = path.first().and_then(|index| index.parse::<usize>().ok());
     let Some(item) = index.and_then(|index| items.get(index)) else {
         return array;
@@ -246,26 +262,29 @@
     key.map_or((start, depth), |(key, _)| (key.span().start, depth + 1))
 }
 
-fn place(file: &File, path: &[String], problem: Problem) -> Diagnostic {
-    let (offset, _) = span(&file.text, path);
+/// Makes the diagnostic of a problem with a key of a file.
+fn diagnose(file: &File, path: &[String], problem: Problem) -> Diagnostic {
+    let (offset, _) = find_key(&file.text, path);
     Diagnostic {
         file: file.path.clone(),
-        line: line(&file.text, offset),
+        line: line_number(&file.text, offset),
         key: path.join("."),
         problem,
     }
 }
 
+/// Makes the diagnostic of a violation, at the file that holds the longest part of the
+/// violation's path. A violation without a path concerns the directory.
 fn locate(files: &[File], directory: &Path, violation: Violation) -> Diagnostic {
     let Violation::Value { path, .. } = &violation else {
         let problem = Problem::Violation(violation);
         return Diagnostic { file: directory.to_owned(), line: 0, key: String::new(), problem };
     };
     let path = path.clone();
-    let deepest = files.iter().max_by_key(|file| span(&file.text, &path).1);
+    let deepest = files.iter().max_by_key(|file| find_key(&file.text, &path).1);
     let problem = Problem::Violation(violation);
     match deepest {
-        Some(file) => place(file, &path, problem),
+        Some(file) => diagnose(file, &path, problem),
         None => Diagnostic { file: directory.to_owned(), line: 0, key: path.join("."), problem },
     }
 }
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -1,12 +1,14 @@
-//! Declarations: what operators write, checked, and asked by the system.
+//! Declarations: the configuration that operators write, its validation, and the
+//! queries that the data path runs on it.
 //!
-//! - [`model`]: the declarations as types, and their canonical text.
-//! - [`check`]: whether they make sense as a whole.
-//! - [`text`]: their canonical text.
-//! - [`files`]: a directory of TOML files, as operators write them.
-//! - [`mod@diff`]: what differs between two configurations.
-//! - [`patch`]: what a change replaces, as the control log carries it.
-//! - [`policy`]: the questions that the data path asks of them.
+//! - [`model`]: the declarations as types.
+//! - [`check`]: validation of the declarations as a whole.
+//! - [`text`]: the canonical text of declarations.
+//! - [`files`]: reading declarations from a directory of TOML files.
+//! - [`mod@diff`]: the differences between two configurations.
+//! - [`patch`]: the declarations that a change replaces, as the control log carries
+//!   them.
+//! - [`policy`]: queries of the data path: access, limits, and rules for requests.
 
 pub mod check;
 pub mod diff;
--- a/components/config/src/model.rs
+++ b/components/config/src/model.rs
@@ -1,7 +1,7 @@
 //! The declarations as types.
 //!
-//! Serialised as JSON with sorted keys they are the canonical text that the
-//! control log carries; operators write them as TOML.
+//! Operators write declarations as TOML. The control log carries them as their
+//! canonical text, which is JSON with sorted keys.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     /// Database groups, by name.
     #[serde(default)]
     pub groups: BTreeMap<Name, Group>,
-    /// Services, by name; a service logs in under its name.
+    /// Services, by name. A service logs in under its name.
     #[serde(default)]
     pub services: BTreeMap<Name, Service>,
     /// Selectors, by name.
@@ -30,21 +30,24 @@
     pub databases: BTreeMap<Name, Database>,
 }
 
-/// A database group. Which servers it has, they announce themselves.
+/// A database group. The servers of a group aren't declared: they announce
+/// themselves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// Number of servers; a majority is counted against it.
+    /// Number of servers in the group, from which the size of a majority is
+    /// computed.
     pub servers: u32,
-    /// Whether the group elects its own primary; the system then orders none.
+    /// Whether the group elects its own primary. The system then promotes no
+    /// server of the group.
     #[serde(default)]
     pub elects: bool,
-    /// Whether its servers answer a commit only once a replica has received
-    /// it, so that the keeper need not ask a majority.
+    /// Whether the servers answer a commit only after a replica has received
+    /// the commit, so that the keeper doesn't have to ask a majority.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub acknowledges: bool,
-    /// Connections that each server accepts in all; zero where the servers
-    /// announce it themselves.
+    /// Total number of connections that each server accepts; zero if the
+    /// servers announce their limit themselves.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub connections: u32,
 }
@@ -54,60 +57,62 @@
     *count == 0
 }
 
-/// A database as callers of plain statements know it. Its callers belong to a
-/// service of the same name.
+/// A database that callers of plain statements connect to by name. The callers
+/// belong to a service of the same name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Database {
-    /// Group that holds it.
+    /// Group that holds the database.
     pub group: Name,
-    /// Age that reads accept, in milliseconds; zero for none.
+    /// Greatest age of the data that a read may return, in milliseconds; zero if
+    /// reads accept no age.
     #[serde(default)]
     pub age_ms: u64,
-    /// Rank under contention; zero goes first.
+    /// Priority under contention; zero is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// Time in which an operation is to be over, in milliseconds; zero for none.
+    /// Time within which an operation should end, in milliseconds; zero for no
+    /// objective.
     #[serde(default)]
     pub objective_ms: u64,
-    /// Limits of its callers.
+    /// Limits of the database's callers.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// A service.
+/// A service, whose callers share a login, limits and objectives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Labels that selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Share under contention, relative to other services.
-    #[serde(default = "one")]
+    /// Share of the capacity under contention, relative to other services.
+    #[serde(default = "default_weight")]
     pub weight: u32,
     /// Limits of the service.
     #[serde(default)]
     pub limits: Limits,
-    /// What its callers are promised.
+    /// Service-level objectives of the service.
     #[serde(default)]
     pub objectives: Vec<Objective>,
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
-/// Limits of a service, at each keeper.
+/// Limits of a service. Each keeper applies them separately.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests that may wait.
+    /// Number of requests that may wait in the queue.
     pub queue: u32,
-    /// Time a request may take in all, in milliseconds.
+    /// Total time that a request may take, in milliseconds.
     pub deadline_ms: u64,
-    /// Share of its requests that may be tried again.
+    /// Share of the requests that may be retried, from 0 to 1.
     pub retry_share: f64,
-    /// Time that a transaction may stand idle, in milliseconds.
+    /// Time that a transaction may be idle, in milliseconds.
     pub idle_transaction_ms: u64,
 }
 
@@ -117,47 +122,50 @@
     }
 }
 
-/// An objective of a service.
+/// A service-level objective.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Objective {
-    /// What is counted.
+    /// Measure by which a request counts as good or bad.
     pub measure: Measure,
     /// Share of requests that must be good, from 0 to 1.
     pub target: f64,
-    /// Limit of a good request in milliseconds, for measures with one.
+    /// Limit up to which a request is good, in milliseconds; zero for a measure
+    /// without a limit.
     #[serde(default)]
     pub within_ms: u64,
 }
 
-/// What an objective counts.
+/// Measure of an objective, which decides whether a request is good.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display, strum::EnumString,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Measure {
-    /// Answered within the limit.
+    /// Good requests are answered within the limit.
     Latency,
-    /// Answered at all, done.
+    /// Good requests are done, however long the answer takes.
     Answered,
-    /// Writes paused no longer than the limit.
+    /// Good writes are done within the limit, so that a failover pauses writes no
+    /// longer than the limit.
     FailoverGap,
-    /// Reads no older than the limit.
+    /// Good reads return data no older than the limit.
     ReadAge,
 }
 
-/// Which services may reach which backend servers, and how.
+/// A rule that allows services to access backend servers, and that declares the
+/// kinds of their requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Selector {
-    /// Labels that a service must have; none match each service.
+    /// Labels that a service must have; empty to match every service.
     #[serde(default)]
     pub services: Labels,
-    /// Groups that it opens; empty for all.
+    /// Groups that the services may access; empty for all groups.
     #[serde(default)]
     pub groups: Vec<Name>,
-    /// Labels that a backend server must have; none match each server.
+    /// Labels that a backend server must have; empty to match every server.
     #[serde(default)]
     pub backends: Labels,
     /// Kinds of request, by name.
@@ -165,7 +173,8 @@
     pub kinds: BTreeMap<Name, Kind>,
 }
 
-/// How requests of a kind may be run.
+/// Class of a kind of request: whether the request may write, and whether it may
+/// be retried.
 #[derive(
     Clone,
     Copy,
@@ -182,12 +191,12 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Class {
-    /// May write; at most once.
+    /// The request may write and runs at most once.
     #[default]
     Write,
-    /// May write; may be run again once the first try is over.
+    /// The request may write and may be retried after the first attempt has ended.
     Idempotent,
-    /// Reads only.
+    /// The request only reads.
     Read,
 }
 
@@ -195,22 +204,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// How it may be run.
+    /// Class of the requests of this kind.
     pub class: Class,
-    /// Age that a read accepts, in milliseconds; zero for none.
+    /// Greatest age of the data that a read may return, in milliseconds; zero if
+    /// the read accepts no age.
     #[serde(default)]
     pub age_ms: u64,
-    /// Time that a read may wait for a replica, in milliseconds.
+    /// Time that a read may wait for a replica to become recent enough, in
+    /// milliseconds.
     #[serde(default)]
     pub patience_ms: u64,
-    /// Beginnings of the statements that are of this kind, besides those
-    /// tagged with its name; case and runs of white space don't count.
+    /// Prefixes of the statements that belong to this kind, in addition to the
+    /// statements tagged with its name. Case and the amount of white space are
+    /// ignored.
     #[serde(default)]
     pub statements: Vec<String>,
 }
 
 impl Service {
-    /// The deadline of its requests.
+    /// The deadline of the service's requests.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.limits.deadline_ms)
     }
--- a/components/config/src/patch.rs
+++ b/components/config/src/patch.rs
@@ -1,9 +1,9 @@
-//! What a change replaces, so that the control log carries what changed and
-//! not all declarations.
+//! Patches: the declarations that a change sets and removes, so that the control
+//! log doesn't have to carry all declarations.
 //!
-//! A patch belongs to the version that it was made from. The log refuses a
-//! change whose base is not the version in force, so a patch always meets the
-//! declarations that it was made from.
+//! A patch is valid only for the version of the declarations that it was made
+//! from. The log refuses a change whose base isn't the current version, so a patch
+//! is always applied to the declarations that it was made from.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// New groups, or those with a new content.
+    /// Groups that are new, changed or removed.
     #[serde(default, skip_serializing_if = "Delta::is_empty")]
     pub groups: Delta<Group>,
-    /// New services, or those with a new content.
+    /// Services that are new, changed or removed.
     #[serde(default, skip_serializing_if = "Delta::is_empty")]
     pub services: Delta<Service>,
-    /// New selectors, or those with a new content.
+    /// Selectors that are new, changed or removed.
     #[serde(default, skip_serializing_if = "Delta::is_empty")]
     pub selectors: Delta<Selector>,
 }
@@ -32,10 +32,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delta<T> {
-    /// Declarations to set, whole, by name.
+    /// Complete declarations to set, by name.
     #[serde(default = "BTreeMap::new", skip_serializing_if = "BTreeMap::is_empty")]
     pub set: BTreeMap<Name, T>,
-    /// Names to remove.
+    /// Names of the declarations to remove.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub remove: Vec<Name>,
 }
@@ -47,13 +47,14 @@
 }
 
 impl<T> Delta<T> {
-    /// Whether it changes nothing.
+    /// Whether the table stays as it is.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty() && self.remove.is_empty()
     }
 }
 
 impl<T: Clone + PartialEq> Delta<T> {
+    /// The changes that turn the table `from` into `to`.
     fn between(from: &BTreeMap<Name, T>, to: &BTreeMap<Name, T>) -> Self {
         let changed = to.iter().filter(|(name, value)| from.get(*name) != Some(*value));
         let set = changed.map(|(name, value)| (name.clone(), value.clone())).collect();
@@ -70,7 +71,7 @@
 }
 
 impl Patch {
-    /// What turns `from` into `to`.
+    /// The patch that turns `from` into `to`.
     pub fn between(from: &Declarations, to: &Declarations) -> Self {
         Self {
             groups: Delta::between(&from.groups, &to.groups),
@@ -79,23 +80,24 @@
         }
     }
 
-    /// Reads a patch's text.
+    /// Parses the text of a patch.
     ///
     /// # Errors
-    /// [`Violation::Syntax`].
+    /// [`Violation::Syntax`] if the text isn't a patch.
     pub fn parse(text: &str) -> Result<Self, Violation> {
         serde_json::from_str(text).map_err(|error| Violation::Syntax { text: error.to_string() })
     }
 
-    /// The text that the control log carries.
+    /// The text of the patch, as the control log carries it.
     pub fn text(&self) -> String {
-        serde_json::to_string(self).expect("a patch holds nothing that JSON can't")
+        serde_json::to_string(self).expect("a patch can be represented as JSON")
     }
 
-    /// The declarations that it makes of those it belongs to, checked.
+    /// Applies the patch to the declarations that it was made from, and validates the
+    /// result.
     ///
     /// # Errors
-    /// All that is wrong with the result.
+    /// All rules that the result violates.
     pub fn apply(self, declarations: &Declarations) -> Result<Declarations, Vec<Violation>> {
         let mut patched = declarations.clone();
         self.groups.apply(&mut patched.groups);
--- a/components/config/src/policy.rs
+++ b/components/config/src/policy.rs
@@ -1,4 +1,5 @@
-//! What the data path asks of the declarations.
+//! Queries of the data path: access of services to groups and servers, limits, and
+//! rules for requests.
 
 use std::time::Duration;
 
@@ -6,24 +7,25 @@
 
 use crate::model::{Class, Declarations, Kind, Labels, Limits, Selector, Service};
 
-/// Weight of the service of a database.
+/// Weight of the service that a database implies; databases declare no weight.
 const DATABASE_WEIGHT: u32 = 1;
 
-/// How one request is to be run.
+/// Rule by which a request is run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// Kind that matched, if one did.
+    /// Name of the kind that matched; `None` if no kind matched.
     pub kind: Option<Name>,
-    /// How it may be run.
+    /// Class of the request.
     pub class: Class,
-    /// Age that a read accepts; zero for none.
+    /// Greatest age of the data that a read may return; zero if the read accepts no
+    /// age.
     pub age: Duration,
-    /// Time that a read may wait for a replica.
+    /// Time that a read may wait for a replica to become recent enough.
     pub patience: Duration,
 }
 
 impl Rule {
-    /// The rule of a request that nothing declares: a write, at most once.
+    /// Rule of a request that matches no declared kind: a write that runs at most once.
     pub const UNDECLARED: Self =
         Self { kind: None, class: Class::Write, age: Duration::ZERO, patience: Duration::ZERO };
 
@@ -38,24 +40,27 @@
 }
 
 impl Declarations {
-    /// Whether a group is open to a service: by a selector, or as the group of
-    /// the service's database.
+    /// Whether a service may access a group: a selector allows the access, or the group
+    /// holds the database of the service.
     pub fn can_access_group(&self, service: &str, group: &str) -> bool {
-        self.holds(service, group) || self.selecting(service, group).next().is_some()
+        self.holds_database(service, group)
+            || self.matching_selectors(service, group).next().is_some()
     }
 
-    /// Whether a service may reach a server of a group that has these labels.
+    /// Whether a service may access a server with these labels in a group.
     pub fn can_access_server(&self, service: &str, group: &str, labels: &Labels) -> bool {
-        let selected = || self.selecting(service, group).any(|s| matches(&s.backends, labels));
-        self.holds(service, group) || selected()
+        let selected =
+            || self.matching_selectors(service, group).any(|s| matches(&s.backends, labels));
+        self.holds_database(service, group) || selected()
     }
 
-    /// Whether the service is that of a database in the group.
-    fn holds(&self, service: &str, group: &str) -> bool {
+    /// Whether the group holds the database that implies a service.
+    fn holds_database(&self, service: &str, group: &str) -> bool {
         self.databases.get(service).is_some_and(|database| database.group.as_str() == group)
     }
 
-    /// Name, weight and limits of a service, declared by itself or as a database.
+    /// Name, weight and limits of a service that is declared, or that a declared
+    /// database implies.
     pub fn limits(&self, service: &str) -> Option<(&Name, u32, &Limits)> {
         if let Some((name, service)) = self.services.get_key_value(service) {
             return Some((name, service.weight, &service.limits));
@@ -64,46 +69,50 @@
         Some((name, DATABASE_WEIGHT, &database.limits))
     }
 
-    /// The rule for a request, by the kind that its tag names, else by how its
-    /// statement begins. A tag that no selector knows gives
-    /// [`Rule::UNDECLARED`], as does a statement that none matches.
+    /// The rule for a request. The tag names the kind; without a tag, the first kind
+    /// that declares a prefix of the statement is used. A tag that names no declared
+    /// kind, or a statement without a matching prefix, gives [`Rule::UNDECLARED`].
     pub fn rule(&self, service: &str, group: &str, tag: Option<&str>, statement: &str) -> Rule {
-        let kinds = || self.selecting(service, group).flat_map(|selector| &selector.kinds);
+        let kinds = || self.matching_selectors(service, group).flat_map(|selector| &selector.kinds);
         let found = if let Some(tag) = tag {
             kinds().find(|(name, _)| name.as_str() == tag)
         } else {
             let statement = normalize(statement);
-            kinds().find(|(_, kind)| begins(kind, &statement))
+            kinds().find(|(_, kind)| has_prefix(kind, &statement))
         };
         found.map_or(Rule::UNDECLARED, |(name, kind)| Rule::new(name, kind))
     }
 
-    fn selecting<'a>(
+    /// The selectors that allow a service to access a group; none if the group or the
+    /// service isn't declared.
+    fn matching_selectors<'a>(
         &'a self,
         service: &str,
         group: &'a str,
     ) -> impl Iterator<Item = &'a Selector> + use<'a> {
         let service = self.services.get(service);
-        let known = self.groups.contains_key(group);
+        let is_declared = self.groups.contains_key(group);
         self.selectors.values().filter(move |selector| {
-            known && service.is_some_and(|service| selects(selector, service, group))
+            is_declared && service.is_some_and(|service| allows_access(selector, service, group))
         })
     }
 }
 
-fn selects(selector: &Selector, service: &Service, group: &str) -> bool {
-    let named = selector.groups.is_empty() || selector.groups.iter().any(|n| n.as_str() == group);
-    named && matches(&selector.services, &service.labels)
+fn allows_access(selector: &Selector, service: &Service, group: &str) -> bool {
+    let covers_group =
+        selector.groups.is_empty() || selector.groups.iter().any(|n| n.as_str() == group);
+    covers_group && matches(&selector.services, &service.labels)
 }
 
 fn matches(wanted: &Labels, labels: &Labels) -> bool {
     wanted.iter().all(|(key, value)| labels.get(key) == Some(value))
 }
 
-fn begins(kind: &Kind, statement: &str) -> bool {
+fn has_prefix(kind: &Kind, statement: &str) -> bool {
     kind.statements.iter().any(|prefix| statement.starts_with(&normalize(prefix)))
 }
 
+/// Converts a text to lower case, with single spaces between words.
 fn normalize(text: &str) -> String {
     let mut words = text.split_whitespace();
     let mut normal = words.next().unwrap_or_default().to_lowercase();
--- a/components/config/src/text.rs
+++ b/components/config/src/text.rs
@@ -1,14 +1,15 @@
-//! Declarations as the canonical text that the control log carries: JSON with
-//! sorted keys and every default written out.
+//! The canonical text of declarations, as the control log carries it: JSON with
+//! sorted keys and explicit defaults.
 
 use crate::check::Violation;
 use crate::model::Declarations;
 
 impl Declarations {
-    /// Reads and checks a canonical text.
+    /// Parses and validates declarations from their canonical text.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// [`Violation::Syntax`] if the text can't be parsed, else all rules that the
+    /// declarations violate.
     pub fn parse(text: &str) -> Result<Self, Vec<Violation>> {
         let read = serde_json::from_str::<Self>(text);
         let declarations =
@@ -17,8 +18,8 @@
         if violations.is_empty() { Ok(declarations) } else { Err(violations) }
     }
 
-    /// The canonical text.
+    /// The canonical text of the declarations.
     pub fn canonical(&self) -> String {
-        serde_json::to_string(self).expect("declarations hold nothing that JSON can't")
+        serde_json::to_string(self).expect("declarations can be represented as JSON")
     }
 }
--- a/components/config/tests/files.rs
+++ b/components/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Directories of declarations, good and bad.
+//! Reading of valid and invalid directories of declarations.
 
 use std::path::{Path, PathBuf};
 
@@ -8,6 +8,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(name)
 }
 
+/// Reads a directory with these files, which must fail, and returns the file name,
+/// line, key and problem of each diagnostic.
 fn problems(given: &[(&str, &str)]) -> Vec<(String, usize, String, Problem)> {
     let directory = tempfile::tempdir().unwrap();
     for (name, text) in given {
@@ -33,7 +35,7 @@
 }
 
 #[test]
-fn tells_kinds_by_tag_and_by_statement() {
+fn matches_kinds_by_tag_and_by_statement() {
     let lakeshore = files::read(&example("lakeshore")).unwrap();
     let rule = lakeshore.rule("ring-steward", "entries-1", Some("ring-list"), "SELECT 1");
     assert_eq!((rule.class, rule.patience.as_millis()), (Class::Read, 250));
@@ -62,15 +64,15 @@
         let path = path.split('.').map(str::to_owned).collect();
         Problem::Violation(Violation::Value { path, allowed })
     };
-    let due = [
+    let expected = [
         ("a.toml", 2, "groups.g.servers", Allowed::Servers),
         ("b.toml", 2, "services.s.weight", Allowed::Positive),
         ("b.toml", 4, "services.s.objectives.0.target", Allowed::Share),
     ];
-    let due = due.map(|(file, line, key, allowed)| {
+    let expected = expected.map(|(file, line, key, allowed)| {
         (file.to_owned(), line, key.to_owned(), violation(allowed, key))
     });
-    assert_eq!(found, due);
+    assert_eq!(found, expected);
 }
 
 #[test]
@@ -90,22 +92,22 @@
 }
 
 #[test]
-fn errors_on_text_that_is_no_toml_and_on_nothing_at_all() {
+fn errors_on_malformed_toml_and_on_an_empty_directory() {
     let found = problems(&[("a.toml", "[groups.g]\nservers = \n")]);
     assert_eq!(found[0].1, 2);
     assert_eq!(problems(&[])[0].3, Problem::Empty);
 }
 
 #[test]
-fn tells_what_differs() {
+fn lists_the_differences() {
     let old = Declarations::parse(r#"{"groups":{"a":{"servers":3},"b":{"servers":3}}}"#).unwrap();
     let new = Declarations::parse(r#"{"groups":{"a":{"servers":5},"c":{"servers":1}}}"#).unwrap();
     let changes: Vec<String> = diff(&old, &new).iter().map(ToString::to_string).collect();
-    let due = [
+    let expected = [
         "~ groups.a.servers = 3 -> 5",
         r#"- groups.b = {"elects":false,"servers":3}"#,
         r#"+ groups.c = {"elects":false,"servers":1}"#,
     ];
-    assert_eq!(changes, due);
+    assert_eq!(changes, expected);
     assert!(diff(&old, &old).is_empty());
 }
--- a/components/config/tests/patch.rs
+++ b/components/config/tests/patch.rs
@@ -1,4 +1,4 @@
-//! Patches turn one configuration into another.
+//! Patches that turn one configuration into another.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -39,7 +39,7 @@
     arbtest(|u| {
         let (from, to) = (arbitrary(u)?, arbitrary(u)?);
         let patch = Patch::between(&from, &to);
-        let carried = Patch::parse(&patch.text()).expect("its own text is read");
+        let carried = Patch::parse(&patch.text()).expect("the text of a patch can be parsed");
         assert_eq!(carried.apply(&from), Ok(to));
         Ok(())
     })
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn errors_on_a_result_that_makes_no_sense() {
+fn errors_on_an_invalid_result() {
     let patch = r#"{"selectors":{"set":{"s":{"groups":["unknown"]}}}}"#;
-    let patch = Patch::parse(patch).expect("the text is read");
+    let patch = Patch::parse(patch).expect("the text is a valid patch");
     let violations = patch.apply(&Declarations::default()).expect_err("the group is not declared");
     assert!(
         matches!(violations.as_slice(), [Violation::Value { path, .. }] if path[0] == "selectors")
--- a/components/config/tests/text.rs
+++ b/components/config/tests/text.rs
@@ -1,4 +1,4 @@
-//! Random declarations there and back: as canonical text and as TOML.
+//! Round trips of random declarations through canonical text and TOML.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -8,7 +8,10 @@
     Class, Declarations, Group, Kind, Labels, Limits, Objective, Selector, Service, diff,
 };
 
-const SCHEDULES: u64 = 300;
+/// Number of seeds to run.
+const SEEDS: u64 = 300;
+
+/// Number of random bytes for each seed.
 const BYTES: u64 = 4 << 10;
 
 fn name(u: &mut Unstructured<'_>) -> Result<Name> {
@@ -62,12 +65,12 @@
 }
 
 #[test]
-fn comes_back_the_same_as_text_and_as_toml() {
-    for seed in 1..=SCHEDULES {
+fn round_trips_as_text_and_as_toml() {
+    for seed in 1..=SEEDS {
         let run = |u: &mut Unstructured<'_>| {
             let all = declarations(u)?;
             let text = all.canonical();
-            let read = Declarations::parse(&text).expect("drawn by the rules");
+            let read = Declarations::parse(&text).expect("the generated declarations are valid");
             assert_eq!(read, all);
             assert_eq!(read.canonical(), text);
             let toml = toml::to_string(&all).unwrap();
--- a/components/telemetry/src/budget.rs
+++ b/components/telemetry/src/budget.rs
@@ -1,18 +1,18 @@
-//! A bound on what a process logs, so that a failure under load neither floods
-//! the log nor costs the processor time that callers need.
+//! A rate limit on the records that a process logs, so that a failure under load
+//! neither floods the log nor takes CPU time from callers.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
 use slog::{Drain, Level, OwnedKVList, Record, b, record};
 
-/// Records a second that are passed on, of each severity.
+/// Number of records of each severity that are logged per second.
 pub const RECORDS_PER_SECOND: u32 = 100;
 
-/// Time over which records are counted.
+/// Time window in which records are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What was passed on and left out in one window.
+/// Numbers of records that were logged and dropped in one window.
 #[derive(Debug, Default)]
 struct Window {
     began: Option<Instant>,
@@ -20,10 +20,12 @@
     left_out: u64,
 }
 
-/// Severities that are counted apart: a flood of one hides no other.
+/// Number of severities that are counted separately, so that a flood of one doesn't
+/// suppress the others.
 const SEVERITIES: usize = 3;
 
-/// Passes on a bounded number of records a second, and counts the others.
+/// Drain that passes a limited number of records to another drain, and drops and
+/// counts the others.
 #[derive(Debug)]
 pub struct Budget<D> {
     inner: D,
@@ -31,18 +33,18 @@
 }
 
 impl<D> Budget<D> {
-    /// Bounds what reaches `inner`.
+    /// Limits the records that reach `inner`.
     pub fn new(inner: D) -> Self {
         Self { inner, window: Mutex::default() }
     }
 
-    /// Whether a record may pass at `now`, and how many were left out in a window
-    /// that is over.
+    /// Whether a record may be logged at `now`, and the number of records dropped in the
+    /// previous window if this record is the first of a new one.
     fn admit(&self, now: Instant, level: Level) -> (bool, u64) {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
-        let over = window.began.is_none_or(|began| now.duration_since(began) >= WINDOW);
-        let left_out = if over { window.left_out } else { 0 };
-        if over {
+        let has_ended = window.began.is_none_or(|began| now.duration_since(began) >= WINDOW);
+        let left_out = if has_ended { window.left_out } else { 0 };
+        if has_ended {
             *window = Window { began: Some(now), ..Window::default() };
         }
         let severity = match level {
--- a/components/telemetry/src/cli.rs
+++ b/components/telemetry/src/cli.rs
@@ -1,4 +1,4 @@
-//! What the command lines of all programs share.
+//! Command-line flags and errors that all programs share.
 
 use std::fmt;
 use std::process::ExitCode;
@@ -7,13 +7,13 @@
 
 use crate::log::{Format, Level};
 
-/// Exit code of a wrong argument.
+/// Exit code of a program that was called with an invalid argument.
 pub const USAGE_EXIT_CODE: u8 = 2;
 
-/// Width of help texts in columns.
+/// Width of help texts, in columns.
 const COLUMNS: usize = 100;
 
-/// A setting that is not allowed: which flag, its value, and what is allowed.
+/// The error of a flag with a value that isn't allowed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invalid {
     flag: String,
@@ -22,7 +22,7 @@
 }
 
 impl Invalid {
-    /// Names the flag, its value, and what is allowed.
+    /// Makes the error of a flag, from its value and the values that are allowed.
     pub fn new(flag: &str, value: &str, allowed: &str) -> Self {
         Self { flag: flag.to_owned(), value: value.to_owned(), allowed: allowed.to_owned() }
     }
@@ -36,7 +36,7 @@
 
 impl std::error::Error for Invalid {}
 
-/// Shows a help text, a version or an error, and gives the code to exit with.
+/// Prints a help text, a version or an error, and returns the exit code.
 pub fn show(failure: &ParseFailure) -> ExitCode {
     let code = match failure {
         ParseFailure::Stderr(_) => ExitCode::from(USAGE_EXIT_CODE),
@@ -46,15 +46,15 @@
     code
 }
 
-/// Reads a text that has a type of its own.
+/// Parses the value of a flag.
 ///
 /// # Errors
-/// [`Invalid`], which names `flag`, `text` and `allowed`.
+/// [`Invalid`], which names `flag`, `text` and `allowed`, if the value can't be parsed.
 pub fn read<T: std::str::FromStr>(flag: &str, text: &str, allowed: &str) -> Result<T, Invalid> {
     text.parse().map_err(|_unreadable| Invalid::new(flag, text, allowed))
 }
 
-/// `--log-level`, or `TREFOIL_LOG_LEVEL`.
+/// Parser of `--log-level`, or `TREFOIL_LOG_LEVEL`.
 pub fn level(fallback: Level) -> impl Parser<Level> {
     long("log-level")
         .env("TREFOIL_LOG_LEVEL")
@@ -65,7 +65,7 @@
         .display_fallback()
 }
 
-/// `--log-format`, or `TREFOIL_LOG_FORMAT`.
+/// Parser of `--log-format`, or `TREFOIL_LOG_FORMAT`.
 pub fn format() -> impl Parser<Format> {
     long("log-format")
         .env("TREFOIL_LOG_FORMAT")
--- a/components/telemetry/src/event.rs
+++ b/components/telemetry/src/event.rs
@@ -1,15 +1,15 @@
-//! The events that a request or a belief of the system can be followed by, so
-//! that a field means the same in every process.
+//! Log events that trace requests and changes of groups through several processes.
 //!
-//! Each is a line of the log: its message, and its fields by their names here.
-//! Whoever reads logs takes both from here too.
+//! Each event is a line of the log, with a message and fields. Programs that write
+//! logs and programs that read them both take the message and the names of the
+//! fields from here, so that a field means the same in every process.
 
 use base::prelude::*;
 use slog::{KV, Record, Result, Serializer};
 
-/// A value of a field.
+/// Value of a field.
 pub trait Value {
-    /// Puts the value out under its name.
+    /// Writes the value under the name of its field.
     fn emit(&self, name: &'static str, out: &mut dyn Serializer) -> Result;
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// In whole milliseconds.
+/// Writes the duration in whole milliseconds.
 impl Value for Duration {
     fn emit(&self, name: &'static str, out: &mut dyn Serializer) -> Result {
         out.emit_u64(name, u64::try_from(self.as_millis()).unwrap_or(u64::MAX))
@@ -71,7 +71,7 @@
     }
 }
 
-/// Declares an event: its message, and its fields with their names in the log.
+/// Declares an event: its message, its fields, and their names in the log.
 macro_rules! event {
     ($(#[$doc:meta])* $event:ident, $message:literal,
      $($(#[$field_doc:meta])* $field:ident: $kind:ty = $name:literal,)*) => {
@@ -82,13 +82,13 @@
         }
 
         impl $event<'_> {
-            /// The message of its line.
+            /// Message of the event's line.
             pub const MESSAGE: &'static str = $message;
 
-            /// Names of its fields, in order.
+            /// Names of the event's fields, in order.
             pub const FIELDS: &'static [&'static str] = &[$($name),*];
 
-            /// Writes its line.
+            /// Logs the event.
             pub fn log(&self, log: &slog::Logger) {
                 slog::info!(log, $message; self);
             }
@@ -103,94 +103,94 @@
     };
 }
 
-/// Name of the field that holds a request's id, in each event of a request.
+/// Name of the field that holds the id of a request, in all events of requests.
 pub const REQUEST: &str = "request";
 
-/// Name of the field that holds a database group.
+/// Name of the field that holds the name of a database group.
 pub const GROUP: &str = "group";
 
-/// Name of the field that holds an index of the control log.
+/// Name of the field that holds an index in the control log.
 pub const INDEX: &str = "index";
 
 event! {
-    /// A front answered a statement late or with an error.
+    /// A front end answered a statement late or with an error.
     Answered, "a statement was late or not done",
     /// Id of the request.
     request: &'a str = "request",
     /// Database that the caller named.
     database: &'a Name = "database",
-    /// Group that it belongs to.
+    /// Group that holds the database.
     group: &'a Name = "group",
-    /// Whether it reads or writes.
+    /// Access of the statement: read or write.
     access: &'a str = "access",
-    /// Whether it was done.
+    /// Whether the statement was done.
     done: bool = "done",
-    /// Why it was not.
+    /// Reason why the statement was not done.
     reason: &'a str = "reason",
     /// Time from the statement to its answer.
     took: Duration = "took_ms",
-    /// Time in which it should be answered.
+    /// Time within which the statement should be answered.
     objective: Duration = "objective_ms",
-    /// Version of the declarations that it was admitted under.
+    /// Version of the declarations under which the statement was admitted.
     version: u64 = "version",
-    /// What was left of the entry's lease.
+    /// Remaining time of the entry's lease.
     lease: Duration = "lease_ms",
-    /// What the caller was told, if it was not done.
+    /// Answer to the caller, if the statement was not done.
     answer: &'a str = "answer",
 }
 
 event! {
-    /// A keeper ended a request that was not done, or not at its first try.
+    /// A keeper ended a request that was not done, or not at the first attempt.
     Ended, "a request ended",
     /// Id of the request.
     request: &'a str = "request",
-    /// Its group.
+    /// Group of the request.
     group: &'a Name = "group",
-    /// How it ended.
+    /// Outcome of the request.
     outcome: &'a str = "outcome",
-    /// Why.
+    /// Reason for the outcome.
     reason: &'a str = "reason",
-    /// Where it stood when it ended.
+    /// Stage of the request when it ended.
     stage: &'static str = "stage",
-    /// Server of its last try.
+    /// Server of the last attempt.
     server: Option<&'a Name> = "server",
-    /// Whether that is the primary.
+    /// Whether that server is the primary.
     primary: bool = "primary",
-    /// Tries before the last.
+    /// Number of attempts before the last one.
     tries: u32 = "tries",
-    /// Time since it came.
+    /// Time since the request arrived.
     waited: Duration = "waited_ms",
-    /// Time since it was sent last.
+    /// Time since the request was last sent to a server.
     sent: Option<Duration> = "sent_ms",
     /// Term of the primary.
     term: u64 = "term",
-    /// Whether control names a primary.
+    /// Whether control names a primary for the group.
     led: bool = "led",
-    /// Whether the entry's lease held.
+    /// Whether the entry's lease was valid.
     leased: bool = "leased",
-    /// Version of the declarations that it came with.
+    /// Version of the declarations that the request came with.
     version: u64 = "version",
-    /// Age of the youngest sample of the primary.
+    /// Age of the latest sample of the primary.
     sample: Option<Duration> = "sample_ms",
 }
 
 event! {
-    /// A member that leads applied a command.
+    /// The leader of the control members applied a command.
     Applied, "applied",
-    /// Index of the command.
+    /// Index of the command in the control log.
     index: u64 = "index",
-    /// Term of the member that leads.
+    /// Term of the leader.
     term: u64 = "term",
     /// Kind of the command.
     command: &'a str = "command",
-    /// Whom it concerns.
+    /// Subject of the command, such as a server, an entry, or a group and its term.
     subject: &'a str = "subject",
-    /// What became of it.
+    /// Outcome of the command.
     outcome: &'a str = "outcome",
 }
 
 event! {
-    /// A keeper learned that a group's primary, its term or its own lease changed.
+    /// A keeper learned that a group's primary or term, or its own lease, changed.
     Learned, "a group changed",
     /// The group.
     group: &'a Name = "group",
@@ -198,7 +198,7 @@
     index: u64 = "index",
     /// Version of the declarations.
     version: u64 = "version",
-    /// Primary that new work may go to.
+    /// Primary to which new work may be sent.
     primary: Option<&'a Name> = "primary",
     /// Term that control has intended or established.
     term: u64 = "term",
@@ -207,13 +207,14 @@
 }
 
 event! {
-    /// A keeper saw something wrong with a primary, or that it is well again.
+    /// A keeper detected a symptom of a failing primary, or that the primary has
+    /// recovered.
     Symptom, "symptom of a primary",
     /// The group.
     group: &'a Name = "group",
-    /// The primary.
+    /// Name of the primary.
     server: &'a str = "server",
-    /// What is wrong.
+    /// Condition of the primary.
     condition: &'a str = "sight",
     /// Term of the primary.
     term: u64 = "term",
@@ -224,9 +225,9 @@
     Sealed, "work for earlier primaries is over",
     /// The group.
     group: &'a Name = "group",
-    /// Term up to which it is over.
+    /// Term up to which all work has ended.
     term: u64 = "term",
-    /// Highest mark that was passed on.
+    /// Highest mark that was returned to callers.
     mark: Option<Mark> = "mark",
     /// Index of the control log that the keeper has applied.
     index: u64 = "index",
--- a/components/telemetry/src/health.rs
+++ b/components/telemetry/src/health.rs
@@ -1,4 +1,4 @@
-//! Whether a process lives and whether it can take work.
+//! Readiness of a process to take work.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,12 +10,12 @@
 }
 
 impl Health {
-    /// Makes the health of a process that is not ready yet.
+    /// Makes the health of a process that isn't ready yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets whether the process takes new work; returns what it was before.
+    /// Sets whether the process takes new work, and returns the previous value.
     pub fn set_ready(&self, ready: bool) -> bool {
         self.ready.swap(ready, Ordering::AcqRel)
     }
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs, metrics and health, alike in every program.
+//! Logs, metrics, health and common command-line flags, shared by all programs.
 
 pub mod budget;
 pub mod cli;
--- a/components/telemetry/src/log.rs
+++ b/components/telemetry/src/log.rs
@@ -1,45 +1,46 @@
-//! Structured logs: a human form on a terminal, JSON lines otherwise.
+//! Structured logs: human-readable lines on a terminal, JSON lines otherwise.
 //!
-//! Logs go to standard error, so that a program's own output stays clean, or to
-//! standard output where that is what is collected. Writing never stalls a
-//! process: records wait in a queue, and those beyond it, or beyond the budget
-//! of a second, are left out and counted.
+//! Logs go to standard error, so that they don't mix with a program's own output,
+//! or to standard output where logs are collected from there. Logging never blocks a
+//! process: records wait in a queue. Records that don't fit into the queue, or that
+//! exceed the rate limit of [`crate::budget`], are dropped and counted.
 
 use std::io::IsTerminal;
 
 use crate::budget::Budget;
 use slog::{Drain, FnValue, Logger, PushFnValue, Record, o};
 
-/// Records that may wait; more are dropped and counted in the log itself.
+/// Number of records that may wait in the queue. Further records are dropped, and
+/// their number is logged.
 const QUEUE_RECORDS: usize = 4_096;
 
-/// Least severity that is written.
+/// Lowest severity that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "lowercase")]
 pub enum Level {
-    /// Failures that need a person.
+    /// Failures that a person must act on.
     Error,
-    /// Things that may need one.
+    /// Conditions that a person may have to act on.
     Warning,
-    /// Events of note.
+    /// Notable events.
     Info,
     /// Steps of each request.
     Debug,
 }
 
-/// Form of the lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "lowercase")]
 pub enum Format {
-    /// Human on a terminal, JSON otherwise.
+    /// Human-readable lines on a terminal, JSON otherwise.
     Auto,
-    /// For people.
+    /// Human-readable lines.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Where lines go.
+/// Destination of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
@@ -48,12 +49,12 @@
     Error,
 }
 
-/// Makes the root logger of a program, on standard error.
+/// Makes the root logger of a program, which writes to standard error.
 pub fn logger(program: &'static str, level: Level, format: Format) -> Logger {
     logger_to(Output::Error, program, level, format)
 }
 
-/// Makes the root logger of a program.
+/// Makes the root logger of a program, which writes to `output`.
 pub fn logger_to(output: Output, program: &'static str, level: Level, format: Format) -> Logger {
     let terminal = match output {
         Output::Standard => std::io::stdout().is_terminal(),
@@ -100,7 +101,7 @@
     Logger::root(Budget::new(drain).filter_level(level).fuse(), o!("program" => program))
 }
 
-/// A logger whose drain may block; nobody who logs waits for it.
+/// Makes a logger whose callers never wait for the drain, even if the drain blocks.
 pub fn asynchronous<D>(drain: D, level: slog::Level) -> Logger
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
@@ -108,6 +109,7 @@
     Logger::root(queued(drain, level), o!())
 }
 
+/// Puts a queue and a thread of its own in front of a drain.
 fn queued<D>(drain: D, level: slog::Level) -> slog::Fuse<slog_async::Async>
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
--- a/components/telemetry/src/web.rs
+++ b/components/telemetry/src/web.rs
@@ -1,5 +1,5 @@
-//! `/live`, `/ready` and `/metrics`, and a server for them and a program's own
-//! routes.
+//! The HTTP routes `/live`, `/ready` and `/metrics`, and a server for these and a
+//! program's own routes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,15 +17,15 @@
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A web server that could not run.
+/// The error of a web server that could not start or run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The address could not be listened on.
+    /// The server could not listen on an address.
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
     },
-    /// The server ended with an error.
+    /// The server stopped with an error.
     Serve,
 }
 
@@ -40,7 +40,7 @@
 
 impl std::error::Error for Failure {}
 
-/// Metrics of a process.
+/// Registry of a process's metrics.
 pub type Metrics = Arc<Mutex<Registry>>;
 
 /// Routes for health and metrics, to be merged with a program's own.
@@ -52,18 +52,18 @@
         .merge(Router::new().route("/metrics", get(exposition)).with_state(metrics))
 }
 
-/// Listens on an address; port 0 takes a free one.
+/// Listens on an address. With port 0 the operating system chooses a free port.
 ///
 /// # Errors
-/// [`Failure::Listen`].
+/// [`Failure::Listen`] if the address can't be used.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, Report<Failure>> {
     TcpListener::bind(address).await.change_context(Failure::Listen { address })
 }
 
-/// Serves routes until `stop` completes; answers in flight are finished.
+/// Serves routes until `stop` completes. Requests in progress are then finished.
 ///
 /// # Errors
-/// [`Failure::Serve`].
+/// [`Failure::Serve`] if the server stops with an error.
 pub async fn serve(
     listener: TcpListener,
     routes: Router,
--- a/components/telemetry/tests/budget.rs
+++ b/components/telemetry/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The bound on what a process logs.
+//! The rate limit on the records that a process logs.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,9 +6,9 @@
 use telemetry::budget::{Budget, RECORDS_PER_SECOND};
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<String>>>);
+struct Captured(Arc<Mutex<Vec<String>>>);
 
-impl Drain for Kept {
+impl Drain for Captured {
     type Ok = ();
     type Err = Never;
 
@@ -19,36 +19,36 @@
 }
 
 #[test]
-fn a_flood_of_one_severity_hides_no_other() {
-    let kept = Kept::default();
-    let log = Logger::root(Budget::new(kept.clone()).fuse(), o!());
+fn a_flood_of_one_severity_does_not_suppress_others() {
+    let captured = Captured::default();
+    let log = Logger::root(Budget::new(captured.clone()).fuse(), o!());
     for _ in 0..RECORDS_PER_SECOND * 3 {
         info!(log, "ordinary");
     }
     warn!(log, "rare");
-    let kept = kept.0.lock().unwrap();
-    assert!(kept.iter().any(|text| text == "rare"));
-    let ordinary = kept.iter().filter(|text| *text == "ordinary").count();
-    // a second may have begun anew in between
+    let captured = captured.0.lock().unwrap();
+    assert!(captured.iter().any(|text| text == "rare"));
+    let ordinary = captured.iter().filter(|text| *text == "ordinary").count();
+    // a new window may begin during the loop, so up to twice the limit is allowed
     assert!(ordinary as u32 <= RECORDS_PER_SECOND * 2, "{ordinary}");
 }
 
 #[test]
-fn what_is_left_out_is_counted_in_the_log() {
-    let kept = Kept::default();
-    let log = Logger::root(Budget::new(kept.clone()).fuse(), o!());
+fn the_number_of_dropped_records_is_logged() {
+    let captured = Captured::default();
+    let log = Logger::root(Budget::new(captured.clone()).fuse(), o!());
     for _ in 0..RECORDS_PER_SECOND + 5 {
         info!(log, "ordinary");
     }
     std::thread::sleep(std::time::Duration::from_millis(1_100));
     info!(log, "later");
-    let kept = kept.0.lock().unwrap();
-    assert!(kept.iter().any(|text| text == "records were left out"));
-    assert_eq!(kept.last().map(String::as_str), Some("later"));
+    let captured = captured.0.lock().unwrap();
+    assert!(captured.iter().any(|text| text == "records were left out"));
+    assert_eq!(captured.last().map(String::as_str), Some("later"));
 }
 
 #[test]
-fn a_blocked_output_stalls_nobody() {
+fn a_blocked_output_does_not_block_callers() {
     struct Blocked;
     impl Drain for Blocked {
         type Ok = ();
@@ -61,10 +61,10 @@
         }
     }
     let log = telemetry::log::asynchronous(Blocked, slog::Level::Info);
-    // far more than may wait; the loop ends only if none of them blocks
+    // far more records than the queue holds: the loop ends only if no call blocks
     for _ in 0..20_000 {
         info!(log, "a line that nobody reads");
     }
-    // its thread is blocked for good, so it must not be joined
+    // the thread of the drain stays blocked, so dropping the logger would hang on joining it
     std::mem::forget(log);
 }
--- a/components/telemetry/tests/event.rs
+++ b/components/telemetry/tests/event.rs
@@ -1,4 +1,4 @@
-//! Each event's line has its message and its fields.
+//! The log line of each event has the event's message and fields.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -8,10 +8,11 @@
 use slog::{Drain, Logger, o};
 use telemetry::event::{Answered, Applied, Ended, Learned, Sealed, Symptom};
 
+/// Output that collects the bytes written to it.
 #[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
+struct Buffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Written {
+impl Write for Buffer {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(buf);
         Ok(buf.len())
@@ -22,20 +23,20 @@
     }
 }
 
-/// The line that an event writes.
+/// The line that an event logs.
 fn line(event: impl FnOnce(&Logger)) -> Value {
-    let written = Written::default();
-    let drain = slog_json::Json::default(written.clone()).fuse();
+    let buffer = Buffer::default();
+    let drain = slog_json::Json::default(buffer.clone()).fuse();
     event(&Logger::root(Mutex::new(drain).fuse(), o!()));
-    serde_json::from_slice(&written.0.lock().unwrap()).unwrap()
+    serde_json::from_slice(&buffer.0.lock().unwrap()).unwrap()
 }
 
-fn has(line: &Value, message: &str, fields: &[&str]) {
+fn assert_has(line: &Value, message: &str, fields: &[&str]) {
     assert_eq!(line["msg"], message);
     for field in fields {
         assert!(line.get(field).is_some(), "{message} lacks {field}: {line}");
     }
-    // a field must not hide the time or the message of its line
+    // a field must not hide one that all lines have, such as the time or the message
     let common = ["msg", "level", "time_ms", "ts", "program", "member"];
     assert!(fields.iter().all(|field| !common.contains(field)));
 }
@@ -60,7 +61,7 @@
         };
         event.log(log);
     });
-    has(&answered, Answered::MESSAGE, Answered::FIELDS);
+    assert_has(&answered, Answered::MESSAGE, Answered::FIELDS);
     assert_eq!((&answered["took_ms"], &answered["request"]), (&12.into(), &"r1".into()));
     let ended = line(|log| {
         let event = Ended {
@@ -82,25 +83,25 @@
         };
         event.log(log);
     });
-    has(&ended, Ended::MESSAGE, Ended::FIELDS);
+    assert_has(&ended, Ended::MESSAGE, Ended::FIELDS);
     assert_eq!((&ended["server"], &ended["sent_ms"]), (&"s1".into(), &Value::Null));
     let applied = line(|log| {
         Applied { index: 7, term: 2, command: "intend", subject: "g1 term 2", outcome: "applied" }
             .log(log);
     });
-    has(&applied, Applied::MESSAGE, Applied::FIELDS);
+    assert_has(&applied, Applied::MESSAGE, Applied::FIELDS);
     let learned = line(|log| {
         let primary = Some(&server);
         Learned { group: &group, index: 7, version: 3, primary, term: 2, lease: "held" }.log(log);
     });
-    has(&learned, Learned::MESSAGE, Learned::FIELDS);
-    let sighted = line(|log| {
+    assert_has(&learned, Learned::MESSAGE, Learned::FIELDS);
+    let symptom = line(|log| {
         Symptom { group: &group, server: "s1", condition: "silent", term: 2 }.log(log);
     });
-    has(&sighted, Symptom::MESSAGE, Symptom::FIELDS);
+    assert_has(&symptom, Symptom::MESSAGE, Symptom::FIELDS);
     let sealed = line(|log| {
         Sealed { group: &group, term: 2, mark: Some(mark), index: 7 }.log(log);
     });
-    has(&sealed, Sealed::MESSAGE, Sealed::FIELDS);
+    assert_has(&sealed, Sealed::MESSAGE, Sealed::FIELDS);
     assert_eq!(sealed["mark"], mark.to_string());
 }
--- a/components/trace/src/clock.rs
+++ b/components/trace/src/clock.rs
@@ -1,8 +1,10 @@
-//! How far the clocks of processes are apart.
+//! Offsets between the clocks of processes.
 //!
-//! Where one line was written because of another, the clock of the first process
-//! is at most ahead by the time between them. The least such time over all pairs
-//! is taken for the difference: some message took next to no time.
+//! If one line was written because of another, the difference between their times
+//! is the delay of the message plus the offset between the two clocks. The delay is
+//! never negative, so each difference is an upper bound on the offset. The least
+//! difference over all pairs is taken as the offset, on the assumption that some
+//! message took next to no time.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -11,47 +13,50 @@
 
 use crate::line::{Line, Logs, Source};
 
-/// Milliseconds to add to each process' clock to have that of one of them.
+/// Offset of each process: the milliseconds to add to the process's clock to get the
+/// clock of the reference process.
 #[derive(Debug)]
 pub struct Clocks {
     offsets: BTreeMap<Key<Source>, i64>,
 }
 
-/// Least time from a line of the first process to one that it led to.
+/// Least time from a line of the first process to a line of the second process that
+/// was written because of the first line, in milliseconds.
 type Delays = HashMap<(Key<Source>, Key<Source>), i64>;
 
 impl Clocks {
     /// Compares the clocks of all processes with that of `reference`.
     pub fn new(logs: &Logs, reference: Key<Source>) -> Self {
         let mut delays = Delays::new();
-        compare(logs, &mut delays, |line| match line.message.as_str() {
+        collect_delays(logs, &mut delays, |line| match line.message.as_str() {
             Ended::MESSAGE => Some((line.text(REQUEST)?.to_owned(), Side::Cause)),
             Answered::MESSAGE => Some((line.text(REQUEST)?.to_owned(), Side::Effect)),
             _ => None,
         });
-        compare(logs, &mut delays, |line| match line.message.as_str() {
+        collect_delays(logs, &mut delays, |line| match line.message.as_str() {
             Applied::MESSAGE => Some((line.number(INDEX)?, Side::Cause)),
             Learned::MESSAGE | Sealed::MESSAGE => Some((line.number(INDEX)?, Side::Effect)),
             _ => None,
         });
-        Self { offsets: spread(&delays, reference) }
+        Self { offsets: propagate_offsets(&delays, reference) }
     }
 
-    /// The time of a line by the reference's clock, if its own was compared.
+    /// The time of a line by the clock of the reference process, in milliseconds; `None`
+    /// if the clock of the line's process could not be compared.
     pub fn time(&self, line: &Line) -> Option<i64> {
         Some(line.time + self.offsets.get(&line.source)?)
     }
 }
 
-/// Where a line stands in a pair.
+/// Role of a line in a pair of cause and effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Side {
     Cause,
     Effect,
 }
 
-/// Adds the delays between lines of one key.
-fn compare<K: Eq + std::hash::Hash>(
+/// Adds the least delays between causes and effects that have the same key.
+fn collect_delays<K: Eq + std::hash::Hash>(
     logs: &Logs,
     delays: &mut Delays,
     key: impl Fn(&Line) -> Option<(K, Side)>,
@@ -66,27 +71,27 @@
     for (causes, effects) in pairs.values() {
         for (cause, effect) in causes.iter().flat_map(|c| effects.iter().map(move |e| (c, e))) {
             let delay = effect.time - cause.time;
-            let least = delays.entry((cause.source, effect.source)).or_insert(delay);
-            *least = delay.min(*least);
+            let shortest = delays.entry((cause.source, effect.source)).or_insert(delay);
+            *shortest = delay.min(*shortest);
         }
     }
 }
 
-/// The offset of each process that a chain of delays joins to the reference.
-fn spread(delays: &Delays, reference: Key<Source>) -> BTreeMap<Key<Source>, i64> {
+/// The offset of each process that a chain of delays connects with the reference.
+fn propagate_offsets(delays: &Delays, reference: Key<Source>) -> BTreeMap<Key<Source>, i64> {
     let mut offsets = BTreeMap::from([(reference, 0)]);
-    let mut due = VecDeque::from([reference]);
-    while let Some(known) = due.pop_front() {
+    let mut queue = VecDeque::from([reference]);
+    while let Some(known) = queue.pop_front() {
         let offset = offsets[&known];
         for ((cause, effect), delay) in delays {
-            let (other, found) = match (*cause == known, *effect == known) {
+            let (other, other_offset) = match (*cause == known, *effect == known) {
                 (true, false) => (*effect, offset - delay),
                 (false, true) => (*cause, offset + delay),
                 _ => continue,
             };
             offsets.entry(other).or_insert_with(|| {
-                due.push_back(other);
-                found
+                queue.push_back(other);
+                other_offset
             });
         }
     }
--- a/components/trace/src/lib.rs
+++ b/components/trace/src/lib.rs
@@ -1,10 +1,10 @@
-//! One request's path through the logs of several processes.
+//! The path of a request through the logs of several processes.
 //!
-//! [`Logs`] reads the lines. The hosts' clocks are apart, so [`Clocks`] compares
-//! them by what must have come before what: a keeper ends a request before the
-//! front answers it, and a command is applied by the leader before anyone learns
-//! of it. [`Path`] picks the lines that tell what became of a request and why,
-//! in the order of one clock.
+//! [`Logs`] parses the log lines. The clocks of the hosts differ, so [`Clocks`]
+//! estimates their offsets from the order of causes and effects: a keeper ends a
+//! request before the front end answers it, and the leader applies a command before
+//! another process learns of it. [`Path`] selects the lines that explain the outcome
+//! of a request, in the order of one clock.
 
 pub mod clock;
 pub mod line;
--- a/components/trace/src/path.rs
+++ b/components/trace/src/path.rs
@@ -1,4 +1,4 @@
-//! The lines that tell what became of a request and why.
+//! Selection of the log lines that explain the outcome of a request.
 
 use std::collections::BTreeSet;
 use std::fmt::{self, Write as _};
@@ -9,20 +9,22 @@
 use crate::clock::Clocks;
 use crate::line::{Line, Logs, Source};
 
-/// Time before a request's first line for which other events are shown, in
-/// milliseconds: a failover and the loss of a lease fit into it.
-const BEFORE: i64 = 5_000;
+/// Time before the first line of a request in which other events are shown, in
+/// milliseconds. A failover and the loss of a lease fit into this time.
+const MILLIS_BEFORE: i64 = 5_000;
 
-/// Time after its last line for which they are, in milliseconds.
-const AFTER: i64 = 500;
+/// Time after the last line of a request in which other events are shown, in
+/// milliseconds.
+const MILLIS_AFTER: i64 = 500;
 
-/// Most other events that are shown, the nearest to its end.
-const MOST: usize = 40;
+/// Largest number of other events that are shown. The latest ones are kept.
+const MAX_EVENTS: usize = 40;
 
-/// Why nothing can be told of a request.
+/// The error of a request that has no path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FindError {
-    /// No line holds its id: it was done in time, or its line was left out.
+    /// No line holds the id of the request: the request was done in time, or its line
+    /// was dropped.
     NotFound,
 }
 
@@ -32,20 +34,22 @@
     }
 }
 
-/// One step of a path.
+/// A line on the path of a request.
 #[derive(Debug)]
 struct Step<'a> {
     line: &'a Line,
-    /// Milliseconds from the request's last line; negative before it.
+    /// Time from the last line of the request, in milliseconds; negative before that
+    /// line.
     time: i64,
-    /// Whether the line is the request's own.
+    /// Whether the line belongs to the request itself.
     own: bool,
-    /// Whether the process' clock was compared with the front's.
+    /// Whether the clock of the line's process could be compared with the reference.
     compared: bool,
 }
 
 impl Step<'_> {
-    /// Order within one millisecond: what is decided comes first.
+    /// Order of lines within one millisecond: decisions of the leader come first, and
+    /// answers last.
     fn rank(&self) -> u8 {
         match self.line.message.as_str() {
             Applied::MESSAGE => 0,
@@ -55,7 +59,7 @@
     }
 }
 
-/// What became of one request.
+/// The path of a request.
 #[derive(Debug)]
 pub struct Path<'a> {
     logs: &'a Logs,
@@ -63,11 +67,12 @@
 }
 
 impl<'a> Path<'a> {
-    /// Finds the lines of a request, and the events around it: those of its group
-    /// everywhere, and all of the processes that it went through.
+    /// Finds the lines of a request, and the events at that time: the events of its
+    /// group in all processes, and all other events of the processes that handled the
+    /// request.
     ///
     /// # Errors
-    /// [`FindError::NotFound`].
+    /// [`FindError::NotFound`] if no line holds the id of the request.
     pub fn find(logs: &'a Logs, request: &str) -> Result<Self, FindError> {
         let own = |line: &&Line| line.text(REQUEST) == Some(request);
         let own: Vec<_> = logs.lines.iter().filter(own).collect();
@@ -77,10 +82,10 @@
         let time = |line: &Line| clocks.time(line).unwrap_or(line.time);
         let times = || own.iter().map(|line| time(line));
         let (from, to) = (times().min().unwrap_or_default(), times().max().unwrap_or_default());
-        let around = Around {
+        let filter = Filter {
             groups: own.iter().filter_map(|line| line.text(GROUP)).collect(),
             sources: own.iter().map(|line| line.source).collect(),
-            window: from - BEFORE..=to + AFTER,
+            window: from - MILLIS_BEFORE..=to + MILLIS_AFTER,
         };
         let step = |line: &'a Line, own| Step {
             line,
@@ -88,55 +93,58 @@
             own,
             compared: clocks.time(line).is_some(),
         };
-        let others = logs.lines.iter().filter(|line| around.holds(line, time(line)));
+        let others = logs.lines.iter().filter(|line| filter.includes(line, time(line)));
         let mut others: Vec<_> = others.map(|line| step(line, false)).collect();
         others.sort_by_key(|step| step.time);
-        let spare = others.len().saturating_sub(MOST);
-        let mut steps = others.split_off(spare);
+        let excess = others.len().saturating_sub(MAX_EVENTS);
+        let mut steps = others.split_off(excess);
         steps.extend(own.iter().map(|line| step(line, true)));
         steps.sort_by_key(|step| (step.time, step.rank()));
         Ok(Self { logs, steps })
     }
 
-    /// A line for each step: its time from the request's end, process, message
-    /// and fields. The request's own are marked `>`, times of a clock that could
-    /// not be compared `?`.
+    /// The path as text, with a line for each step: the time from the request's end, the
+    /// process, the message and the fields. Lines of the request itself are marked `>`,
+    /// and times of a clock that could not be compared `?`.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for step in &self.steps {
             let mark = if step.own { '>' } else { ' ' };
-            let sure = if step.compared { ' ' } else { '?' };
+            let clock_mark = if step.compared { ' ' } else { '?' };
             let source = self.logs.sources.get(step.line.source);
             let name = source.map_or("", |source| source.name.as_str());
             let (message, details) = (&step.line.message, step.line.details());
-            let _infallible =
-                writeln!(text, "{mark} {:>7}{sure} ms  {name}  {message}  {details}", step.time);
+            let _infallible = writeln!(
+                text,
+                "{mark} {:>7}{clock_mark} ms  {name}  {message}  {details}",
+                step.time
+            );
         }
         text
     }
 }
 
-/// What counts as an event around a request.
-struct Around<'a> {
+/// Filter for the other events that are shown with a request.
+struct Filter<'a> {
     groups: BTreeSet<&'a str>,
     sources: BTreeSet<Key<Source>>,
     window: std::ops::RangeInclusive<i64>,
 }
 
-impl Around<'_> {
-    fn holds(&self, line: &Line, time: i64) -> bool {
+impl Filter<'_> {
+    fn includes(&self, line: &Line, time: i64) -> bool {
         if !self.window.contains(&time) || line.text(REQUEST).is_some() {
             return false;
         }
         match line.text(GROUP) {
             Some(group) => self.groups.contains(group),
-            None if line.message == Applied::MESSAGE => self.concerns(line),
+            None if line.message == Applied::MESSAGE => self.names_group(line),
             None => self.sources.contains(&line.source),
         }
     }
 
-    /// Whether an applied command names one of the groups.
-    fn concerns(&self, line: &Line) -> bool {
+    /// Whether the subject of an applied command names one of the groups.
+    fn names_group(&self, line: &Line) -> bool {
         let subject = line.text("subject").unwrap_or_default();
         let mut words = subject.split(|letter: char| letter.is_whitespace() || letter == ',');
         words.any(|word| self.groups.contains(word))
--- a/components/trace/tests/path.rs
+++ b/components/trace/tests/path.rs
@@ -1,12 +1,14 @@
-//! A request's path through logs of hosts whose clocks are apart.
+//! The path of a request through the logs of hosts whose clocks differ.
 
 use telemetry::event::{Answered, Applied, Ended, Learned, Symptom};
 use trace::path::FindError;
 use trace::{Clocks, Logs, Path};
 
-/// How far the clocks of a keeper and of the leader are ahead, in milliseconds.
-const KEEPER: i64 = 3_600_000;
-const LEADER: i64 = -45_000;
+/// Offset of the keeper's clock from the front end's clock, in milliseconds.
+const KEEPER_OFFSET: i64 = 3_600_000;
+
+/// Offset of the leader's clock from the front end's clock, in milliseconds.
+const LEADER_OFFSET: i64 = -45_000;
 
 fn line(time: i64, message: &str, fields: &str) -> String {
     format!(
@@ -22,7 +24,7 @@
 
 fn ended(time: i64, request: &str) -> String {
     let fields = format!(r#""request":"{request}","group":"g1","server":"s1","stage":"queued""#);
-    line(time + KEEPER, Ended::MESSAGE, &fields)
+    line(time + KEEPER_OFFSET, Ended::MESSAGE, &fields)
 }
 
 fn logs() -> Logs {
@@ -35,23 +37,23 @@
     ];
     logs.read("front", &front.join("\n"));
     let keeper = [
-        line(700 + KEEPER, Symptom::MESSAGE, r#""group":"g1","sight":"silent""#),
-        line(701 + KEEPER, Symptom::MESSAGE, r#""group":"g2","sight":"silent""#),
-        line(903 + KEEPER, Learned::MESSAGE, r#""group":"g1","index":7,"primary":null"#),
+        line(700 + KEEPER_OFFSET, Symptom::MESSAGE, r#""group":"g1","sight":"silent""#),
+        line(701 + KEEPER_OFFSET, Symptom::MESSAGE, r#""group":"g2","sight":"silent""#),
+        line(903 + KEEPER_OFFSET, Learned::MESSAGE, r#""group":"g1","index":7,"primary":null"#),
         ended(89, "early"),
         ended(1_000, "asked"),
     ];
-    // as a tool that gathers logs writes them, with a time and a name in front
+    // as a log collector writes the lines, preceded by a time and a name
     let named: Vec<_> = keeper.iter().map(|line| format!("12.5 host-2/entry {line}")).collect();
     logs.read("gathered", &named.join("\n"));
     let leader = [
         line(
-            902 + LEADER,
+            902 + LEADER_OFFSET,
             Applied::MESSAGE,
             r#""index":7,"subject":"g1 term 2","command":"intend""#,
         ),
         line(
-            905 + LEADER,
+            905 + LEADER_OFFSET,
             Applied::MESSAGE,
             r#""index":8,"subject":"g2 term 2","command":"intend""#,
         ),
@@ -62,11 +64,11 @@
 }
 
 #[test]
-fn lines_are_told_in_the_order_in_which_they_were_written() {
+fn lines_are_in_the_order_in_which_they_were_written() {
     let logs = logs();
     assert_eq!(logs.malformed, 0);
     let text = Path::find(&logs, "asked").unwrap().text();
-    let told: Vec<_> = text.lines().collect();
+    let shown: Vec<_> = text.lines().collect();
     let starts = [
         "     -502  ms  front  left a control member",
         "     -301  ms  host-2/entry  symptom of a primary",
@@ -76,13 +78,13 @@
         ">      -1  ms  host-2/entry  a request ended",
         ">       0  ms  front  a statement was late or not done",
     ];
-    assert_eq!(told.len(), starts.len(), "{text}");
-    for (line, start) in told.iter().zip(starts) {
+    assert_eq!(shown.len(), starts.len(), "{text}");
+    for (line, start) in shown.iter().zip(starts) {
         let line: String = line.split_whitespace().collect::<Vec<_>>().join(" ");
         let start: String = start.split_whitespace().collect::<Vec<_>>().join(" ");
         assert!(line.starts_with(&start), "{line} is not {start}");
     }
-    assert!(told[6].contains(r#"reason="deadline""#) && !told[6].contains("time_ms"));
+    assert!(shown[6].contains(r#"reason="deadline""#) && !shown[6].contains("time_ms"));
 }
 
 #[test]
@@ -95,13 +97,13 @@
         clocks.time(line).map(|time| time - line.time)
     };
     assert_eq!(of("front"), Some(0));
-    assert_eq!(of("host-2/entry"), Some(1 - KEEPER));
-    assert_eq!(of("leader"), Some(2 - LEADER));
+    assert_eq!(of("host-2/entry"), Some(1 - KEEPER_OFFSET));
+    assert_eq!(of("leader"), Some(2 - LEADER_OFFSET));
     assert_eq!(of("stranger"), None);
 }
 
 #[test]
-fn what_is_no_line_is_counted_and_an_unknown_request_is_told() {
+fn counts_malformed_lines_and_errors_on_an_unknown_request() {
     let mut logs = Logs::default();
     logs.read("file", "free text\n{\"time_ms\":1}\n{\"msg\":\"x\"}\n{ cut\n\n");
     assert_eq!(logs.malformed, 4);
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn a_busy_time_is_told_by_what_is_nearest_to_the_end() {
+fn keeps_the_events_nearest_to_the_end_of_a_request() {
     let mut logs = Logs::default();
     let mut lines = vec![answered(1_000, "asked")];
     lines.extend((0..500).map(|at| line(at, "left a control member", r#""address":"a""#)));
