--- a/components/telemetry/src/event.rs
+++ b/components/telemetry/src/event.rs
@@ -192,9 +192,9 @@
 event! {
     /// A keeper learned that a group's primary or term, or its own lease, changed.
     Learned, "a group changed",
-    /// The group.
+    /// Name of the group.
     group: &'a Name = "group",
-    /// Index of the control log that the keeper has applied.
+    /// Index up to which the keeper has applied the control log.
     index: u64 = "index",
     /// Version of the declarations.
     version: u64 = "version",
@@ -210,7 +210,7 @@
     /// A keeper detected a symptom of a failing primary, or that the primary has
     /// recovered.
     Symptom, "symptom of a primary",
-    /// The group.
+    /// Name of the group.
     group: &'a Name = "group",
     /// Name of the primary.
     server: &'a str = "server",
@@ -223,12 +223,12 @@
 event! {
     /// A keeper ended its work for the primaries of earlier terms.
     Sealed, "work for earlier primaries is over",
-    /// The group.
+    /// Name of the group.
     group: &'a Name = "group",
     /// Term up to which all work has ended.
     term: u64 = "term",
     /// Highest mark that was returned to callers.
     mark: Option<Mark> = "mark",
-    /// Index of the control log that the keeper has applied.
+    /// Index up to which the keeper has applied the control log.
     index: u64 = "index",
 }
