--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Whether declarations make sense as a whole.
+//! Validation of declarations as a whole.
 
 use std::fmt;
 
@@ -7,42 +7,43 @@
 
 use crate::model::{Class, Declarations, Limits, Measure, Selector, Service};
 
-/// Most servers that a group may declare.
+/// Largest number of servers that a group may declare.
 pub const MAX_SERVERS: u32 = 15;
 
-/// What is wrong with declarations.
+/// A rule that declarations violate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fault {
-    /// They can't be read.
+pub enum Violation {
+    /// The text can't be parsed as declarations or as a patch.
     Syntax {
-        /// What the reader says.
+        /// Error message of the parser.
         text: String,
     },
     /// A value is not allowed.
     Value {
         /// Names of the tables and the key, outermost first.
         path: Vec<String>,
-        /// What is allowed.
+        /// Values that are allowed there.
         allowed: Allowed,
     },
 }
 
-/// What a value must be.
+/// Values that a key allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Allowed {
-    /// From 1 to [`MAX_SERVERS`].
+    /// A whole number from 1 to [`MAX_SERVERS`].
     Servers,
-    /// At least 1.
+    /// A whole number of at least 1.
     Positive,
-    /// From 0 to 1.
+    /// A number from 0 to 1.
     Share,
     /// The name of a declared group.
     DeclaredGroup,
-    /// Only measures with a limit take one, and they need it.
+    /// A limit of at least 1 for a measure that needs a limit, and none for a measure
+    /// without one.
     Limit,
-    /// Only reads accept an age or have patience.
+    /// Zero, except for the class [`Class::Read`].
     ReadOnly,
-    /// A beginning of a statement, not empty.
+    /// A statement prefix that isn't blank.
     Statement,
 }
 
@@ -63,7 +64,7 @@
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Syntax { text } => f.write_str(text),
@@ -72,79 +73,97 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Violation {}
 
+/// Violations found so far.
 #[derive(Default)]
-struct Faults(Vec<Fault>);
+struct Violations(Vec<Violation>);
 
-impl Faults {
-    fn check(&mut self, right: bool, path: &[&str], allowed: Allowed) {
-        if !right {
+impl Violations {
+    /// Adds a violation at `path` unless the value is valid.
+    fn check(&mut self, valid: bool, path: &[&str], allowed: Allowed) {
+        if !valid {
             let path = path.iter().map(|&part| part.to_owned()).collect();
-            self.0.push(Fault::Value { path, allowed });
+            self.0.push(Violation::Value { path, allowed });
         }
     }
 }
 
 impl Declarations {
-    /// All that is wrong with them.
-    pub fn faults(&self) -> Vec<Fault> {
-        let mut faults = Faults::default();
+    /// All rules that the declarations violate; empty if they are valid.
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut violations = Violations::default();
         for (name, group) in &self.groups {
-            let right = (1..=MAX_SERVERS).contains(&group.servers);
-            faults.check(right, &["groups", name.as_str(), "servers"], Allowed::Servers);
+            let valid = (1..=MAX_SERVERS).contains(&group.servers);
+            violations.check(valid, &["groups", name.as_str(), "servers"], Allowed::Servers);
         }
         for (name, service) in &self.services {
-            check_service(&mut faults, name, service);
+            check_service(&mut violations, name, service);
         }
         for (name, selector) in &self.selectors {
-            self.check_selector(&mut faults, name, selector);
+            self.check_selector(&mut violations, name, selector);
         }
         for (name, database) in &self.databases {
             let path = ["databases", name.as_str(), "group"];
-            faults.check(self.groups.contains_key(&database.group), &path, Allowed::DeclaredGroup);
-            check_limits(&mut faults, ["databases", name.as_str()], &database.limits);
+            violations.check(
+                self.groups.contains_key(&database.group),
+                &path,
+                Allowed::DeclaredGroup,
+            );
+            check_limits(&mut violations, ["databases", name.as_str()], &database.limits);
         }
-        faults.0
+        violations.0
     }
 
-    fn check_selector(&self, faults: &mut Faults, name: &Name, selector: &Selector) {
+    fn check_selector(&self, violations: &mut Violations, name: &Name, selector: &Selector) {
         for group in &selector.groups {
-            let right = self.groups.contains_key(group);
-            faults.check(right, &["selectors", name.as_str(), "groups"], Allowed::DeclaredGroup);
+            let valid = self.groups.contains_key(group);
+            violations.check(
+                valid,
+                &["selectors", name.as_str(), "groups"],
+                Allowed::DeclaredGroup,
+            );
         }
         for (kind_name, kind) in &selector.kinds {
             let path = |key| ["selectors", name.as_str(), "kinds", kind_name.as_str(), key];
             let read = kind.class == Class::Read;
-            faults.check(read || kind.age_ms == 0, &path("age_ms"), Allowed::ReadOnly);
-            faults.check(read || kind.patience_ms == 0, &path("patience_ms"), Allowed::ReadOnly);
-            let blank = |statement: &String| statement.trim().is_empty();
-            let right = !kind.statements.iter().any(blank);
-            faults.check(right, &path("statements"), Allowed::Statement);
+            violations.check(read || kind.age_ms == 0, &path("age_ms"), Allowed::ReadOnly);
+            violations.check(
+                read || kind.patience_ms == 0,
+                &path("patience_ms"),
+                Allowed::ReadOnly,
+            );
+            let is_blank = |statement: &String| statement.trim().is_empty();
+            let valid = !kind.statements.iter().any(is_blank);
+            violations.check(valid, &path("statements"), Allowed::Statement);
         }
     }
 }
 
-fn check_service(faults: &mut Faults, name: &Name, service: &Service) {
+fn check_service(violations: &mut Violations, name: &Name, service: &Service) {
     let name = name.as_str();
-    faults.check(service.weight > 0, &["services", name, "weight"], Allowed::Positive);
-    check_limits(faults, ["services", name], &service.limits);
+    violations.check(service.weight > 0, &["services", name, "weight"], Allowed::Positive);
+    check_limits(violations, ["services", name], &service.limits);
     for (index, objective) in service.objectives.iter().enumerate() {
         let index = index.to_string();
         let path = |key| ["services", name, "objectives", index.as_str(), key];
-        faults.check(is_share(objective.target), &path("target"), Allowed::Share);
-        let limited = objective.measure != Measure::Answered;
-        let right = limited == (objective.within_ms > 0);
-        faults.check(right, &path("within_ms"), Allowed::Limit);
+        violations.check(is_share(objective.target), &path("target"), Allowed::Share);
+        let needs_limit = objective.measure != Measure::Answered;
+        let valid = needs_limit == (objective.within_ms > 0);
+        violations.check(valid, &path("within_ms"), Allowed::Limit);
     }
 }
 
-fn check_limits(faults: &mut Faults, [table, name]: [&str; 2], limits: &Limits) {
+fn check_limits(violations: &mut Violations, [table, name]: [&str; 2], limits: &Limits) {
     let limit = |key| [table, name, "limits", key];
-    faults.check(limits.queue > 0, &limit("queue"), Allowed::Positive);
-    faults.check(limits.deadline_ms > 0, &limit("deadline_ms"), Allowed::Positive);
-    faults.check(limits.idle_transaction_ms > 0, &limit("idle_transaction_ms"), Allowed::Positive);
-    faults.check(is_share(limits.retry_share), &limit("retry_share"), Allowed::Share);
+    violations.check(limits.queue > 0, &limit("queue"), Allowed::Positive);
+    violations.check(limits.deadline_ms > 0, &limit("deadline_ms"), Allowed::Positive);
+    violations.check(
+        limits.idle_transaction_ms > 0,
+        &limit("idle_transaction_ms"),
+        Allowed::Positive,
+    );
+    violations.check(is_share(limits.retry_share), &limit("retry_share"), Allowed::Share);
 }
 
 fn is_share(value: f64) -> bool {
--- a/components/member/src/web.rs
+++ b/components/member/src/web.rs
@@ -60,7 +60,7 @@
     /// A member with another name answers at this address.
     NameMismatch { link: SocketAddr, name: String },
     /// The declarations are invalid.
-    Faults(Vec<config::Fault>),
+    Faults(Vec<config::Violation>),
     /// The command has no effect.
     Command(control::Refusal),
     /// The membership change was refused.
