--- a/components/entry/tests/keep.rs
+++ b/components/entry/tests/keep.rs
@@ -324,7 +324,7 @@
         });
     }
     tokio::time::sleep(Duration::from_millis(60)).await;
-    bench.group.fault(Fault::PrimaryCrash).await.unwrap();
+    bench.group.inject(Fault::PrimaryCrash).await.unwrap();
     tokio::time::sleep(Duration::from_millis(100)).await;
     fail_over(&bench.group, 2).await;
     let ends: Vec<_> = callers.join_all().await.into_iter().flatten().collect();
--- a/components/load/src/bench.rs
+++ b/components/load/src/bench.rs
@@ -150,12 +150,12 @@
             // without control nobody would promote another primary
             _ => return Err(Report::new(Failure::Fault)),
         };
-        self.groups[group].fault(fault).await.change_context(Failure::Fault)
+        self.groups[group].inject(fault).await.change_context(Failure::Fault)
     }
 
     async fn heal(&mut self) -> Result<(), Report<Failure>> {
         for group in &self.groups {
-            group.fault(standin::Fault::Heal).await.change_context(Failure::Fault)?;
+            group.inject(standin::Fault::Heal).await.change_context(Failure::Fault)?;
         }
         Ok(())
     }
--- a/components/local/src/fault.rs
+++ b/components/local/src/fault.rs
@@ -89,7 +89,7 @@
     pub async fn fault(&self, group: &str, fault: standin::Fault) -> Result<(), Report<Refusal>> {
         let groups = self.groups.read().await;
         let group = groups.get(group).ok_or(Refusal::UnknownGroup)?;
-        group.fault(fault).await.change_context(Refusal::Impossible)
+        group.inject(fault).await.change_context(Refusal::Impossible)
     }
 
     /// Asks something of a group.
--- a/components/soak/src/bench.rs
+++ b/components/soak/src/bench.rs
@@ -83,7 +83,7 @@
             proxy.set(Mode::Pass);
         }
         for group in &self.groups {
-            group.fault(standin::Fault::Heal).await.change_context(Failure::Heal)?;
+            group.inject(standin::Fault::Heal).await.change_context(Failure::Heal)?;
         }
         Ok(())
     }
--- a/components/soak/src/chaos.rs
+++ b/components/soak/src/chaos.rs
@@ -143,9 +143,9 @@
         }
         Fault::Group(group, fault) => {
             // a group that has no primary yet after an earlier fault is passed over
-            drop(parts.groups[group].fault(fault).await);
+            drop(parts.groups[group].inject(fault).await);
             tokio::time::sleep(step.length).await;
-            drop(parts.groups[group].fault(standin::Fault::Heal).await);
+            drop(parts.groups[group].inject(standin::Fault::Heal).await);
         }
         Fault::Change => shared.change(step.length).await,
     }
--- a/components/standin/src/announce.rs
+++ b/components/standin/src/announce.rs
@@ -11,10 +11,10 @@
 use crate::server::Server;
 
 /// Time between two announcements.
-pub const PERIOD: Duration = Duration::from_millis(500);
+pub const INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest time that one announcement may take.
-pub const TIMEOUT: Duration = Duration::from_millis(400);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Serialize)]
 struct Announcement {
@@ -58,7 +58,7 @@
     loop {
         let started = tokio::time::Instant::now();
         announce(&server, &client, controls, &mut rng).await;
-        tokio::time::sleep_until(started + PERIOD).await;
+        tokio::time::sleep_until(started + INTERVAL).await;
     }
 }
 
@@ -73,7 +73,8 @@
     for turn in 0..controls.len() {
         let control = controls[(first + turn) % controls.len()];
         let url = format!("http://{control}/v1/announce");
-        let sent = client.post(url).timeout(TIMEOUT).json(&Announcement::new(server)).send().await;
+        let sent =
+            client.post(url).timeout(REQUEST_TIMEOUT).json(&Announcement::new(server)).send().await;
         if sent.is_ok_and(|answer| answer.status().is_success()) {
             return;
         }
--- a/components/standin/src/answer.rs
+++ b/components/standin/src/answer.rs
@@ -41,7 +41,7 @@
 }
 
 /// Appends the columns of a result.
-pub fn put_columns(buffer: &mut BytesMut, columns: &[(String, Kind)], formats: &[i16]) {
+pub fn put_row_description(buffer: &mut BytesMut, columns: &[(String, Kind)], formats: &[i16]) {
     let field = |(index, (name, kind)): (usize, &(String, Kind))| {
         let format = i16::from(is_binary(formats, index));
         let (oid, size) = (kind.oid(), kind.size());
@@ -52,7 +52,7 @@
 }
 
 /// Appends one row.
-pub fn put_row(buffer: &mut BytesMut, row: &[Value], kinds: &[Kind], formats: &[i16]) {
+pub fn put_data_row(buffer: &mut BytesMut, row: &[Value], kinds: &[Kind], formats: &[i16]) {
     let mut data = BytesMut::new();
     for (index, (value, kind)) in row.iter().zip(kinds).enumerate() {
         match value::encode(value, *kind, is_binary(formats, index)) {
@@ -77,17 +77,17 @@
 }
 
 /// Appends the tag of a statement that completed.
-pub fn put_complete(buffer: &mut BytesMut, tag: &str) {
+pub fn put_command_complete(buffer: &mut BytesMut, tag: &str) {
     put(buffer, &Message::CommandComplete(CommandComplete::new(tag.to_owned())));
 }
 
 /// Appends the end of a cycle.
-pub fn put_ready(buffer: &mut BytesMut, status: TransactionStatus) {
+pub fn put_ready_for_query(buffer: &mut BytesMut, status: TransactionStatus) {
     put(buffer, &Message::ReadyForQuery(ReadyForQuery::new(status)));
 }
 
 /// Appends a parameter.
-pub fn put_parameter(buffer: &mut BytesMut, name: &str, value: &str) {
+pub fn put_parameter_status(buffer: &mut BytesMut, name: &str, value: &str) {
     let status = ParameterStatus::new(name.to_owned(), value.to_owned());
     put(buffer, &Message::ParameterStatus(status));
 }
--- a/components/standin/src/counters.rs
+++ b/components/standin/src/counters.rs
@@ -41,34 +41,34 @@
 
 /// One of what a gauge counts, until it is dropped.
 #[derive(Debug)]
-pub struct Held<'a>(&'a AtomicU64);
+pub struct Guard<'a>(&'a AtomicU64);
 
-impl Drop for Held<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Gauge {
-    fn hold(&self) -> Held<'_> {
+    fn hold(&self) -> Guard<'_> {
         let now = self.now.fetch_add(1, Ordering::AcqRel) + 1;
         self.peak.fetch_max(now, Ordering::AcqRel);
-        Held(&self.now)
+        Guard(&self.now)
     }
 
-    fn hold_below(&self, limit: u64) -> Option<Held<'_>> {
+    fn hold_below(&self, limit: u64) -> Option<Guard<'_>> {
         let raised = self.now.fetch_update(Ordering::AcqRel, Ordering::Acquire, |now| {
             (now < limit).then_some(now + 1)
         });
         let now = raised.ok()? + 1;
         self.peak.fetch_max(now, Ordering::AcqRel);
-        Some(Held(&self.now))
+        Some(Guard(&self.now))
     }
 }
 
 impl Counters {
     /// Takes one of `limit` connections.
-    pub fn connect(&self, limit: usize) -> Option<Held<'_>> {
+    pub fn acquire_connection(&self, limit: usize) -> Option<Guard<'_>> {
         let held = self.connections.hold_below(limit as u64);
         if held.is_none() {
             self.refused.fetch_add(1, Ordering::Relaxed);
@@ -77,19 +77,19 @@
     }
 
     /// Counts a statement that runs or waits; `queued` where no slot was free.
-    pub fn statement(&self, queued: bool) -> Held<'_> {
+    pub fn start_statement(&self, queued: bool) -> Guard<'_> {
         self.queued.fetch_add(u64::from(queued), Ordering::Relaxed);
         self.statements.hold()
     }
 
     /// Counts a read.
-    pub fn read(&self, primary: bool) {
+    pub fn record_read(&self, primary: bool) {
         let counter = if primary { &self.reads_primary } else { &self.reads_replica };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a commit.
-    pub fn commit(&self) {
+    pub fn record_commit(&self) {
         self.commits.fetch_add(1, Ordering::Relaxed);
     }
 
--- a/components/standin/src/failure.rs
+++ b/components/standin/src/failure.rs
@@ -21,15 +21,15 @@
 
 /// SQLSTATE classes that a server answers with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum SqlState {
     /// A unique key is taken.
-    Unique,
+    UniqueViolation,
     /// A column may not be null.
-    NotNull,
+    NotNullViolation,
     /// A foreign key is missing.
-    ForeignKey,
+    ForeignKeyViolation,
     /// A check failed.
-    Check,
+    CheckViolation,
     /// No such table.
     UndefinedTable,
     /// The table exists.
@@ -43,11 +43,11 @@
     /// The server takes no writes.
     ReadOnly,
     /// The transaction has failed; only its end is accepted.
-    InFailed,
+    FailedTransaction,
     /// The transaction's results do not hold any more.
     Serialization,
     /// No connection is free.
-    TooMany,
+    TooManyConnections,
     /// The statement was cancelled.
     Cancelled,
     /// The server does not offer this.
@@ -57,9 +57,9 @@
     /// No such portal.
     UndefinedPortal,
     /// A value can't be read.
-    Value,
+    InvalidValue,
     /// The messages break the protocol.
-    Protocol,
+    ProtocolViolation,
     /// The database is being rebuilt.
     Starting,
     /// The server is shutting down or restarting.
@@ -68,29 +68,29 @@
     Internal,
 }
 
-impl State {
+impl SqlState {
     /// The five characters.
     pub const fn code(self) -> &'static str {
         match self {
-            Self::Unique => "23505",
-            Self::NotNull => "23502",
-            Self::ForeignKey => "23503",
-            Self::Check => "23514",
+            Self::UniqueViolation => "23505",
+            Self::NotNullViolation => "23502",
+            Self::ForeignKeyViolation => "23503",
+            Self::CheckViolation => "23514",
             Self::UndefinedTable => "42P01",
             Self::DuplicateTable => "42P07",
             Self::UndefinedColumn => "42703",
             Self::UndefinedFunction => "42883",
             Self::Syntax => "42601",
             Self::ReadOnly => "25006",
-            Self::InFailed => "25P02",
+            Self::FailedTransaction => "25P02",
             Self::Serialization => "40001",
-            Self::TooMany => "53300",
+            Self::TooManyConnections => "53300",
             Self::Cancelled => "57014",
             Self::Unsupported => "0A000",
             Self::UndefinedStatement => "26000",
             Self::UndefinedPortal => "34000",
-            Self::Value => "22P02",
-            Self::Protocol => "08P01",
+            Self::InvalidValue => "22P02",
+            Self::ProtocolViolation => "08P01",
             Self::Starting => "57P03",
             Self::Shutdown => "57P01",
             Self::Internal => "XX000",
@@ -102,20 +102,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
     /// Its SQLSTATE.
-    pub state: State,
+    pub state: SqlState,
     /// Its message.
     pub message: String,
 }
 
 impl Rejection {
     /// Makes a rejection.
-    pub fn new(state: State, message: impl Into<String>) -> Self {
+    pub fn new(state: SqlState, message: impl Into<String>) -> Self {
         Self { state, message: message.into() }
     }
 
     /// The rejection of a write by a server that takes none.
     pub fn read_only() -> Self {
-        Self::new(State::ReadOnly, "cannot execute a write on a read-only server")
+        Self::new(SqlState::ReadOnly, "cannot execute a write on a read-only server")
     }
 }
 
@@ -134,22 +134,22 @@
     }
 }
 
-fn state(error: &rusqlite::Error, message: &str) -> State {
+fn state(error: &rusqlite::Error, message: &str) -> SqlState {
     use rusqlite::ffi;
     let extended = error.sqlite_error().map_or(0, |error| error.extended_code);
     match extended {
         ffi::SQLITE_CONSTRAINT_UNIQUE
         | ffi::SQLITE_CONSTRAINT_PRIMARYKEY
-        | ffi::SQLITE_CONSTRAINT_ROWID => State::Unique,
-        ffi::SQLITE_CONSTRAINT_NOTNULL => State::NotNull,
-        ffi::SQLITE_CONSTRAINT_FOREIGNKEY => State::ForeignKey,
-        ffi::SQLITE_CONSTRAINT_CHECK => State::Check,
-        ffi::SQLITE_READONLY => State::ReadOnly,
-        _ if message.contains("no such table") => State::UndefinedTable,
-        _ if message.contains("already exists") => State::DuplicateTable,
-        _ if message.contains("no such column") => State::UndefinedColumn,
-        _ if message.contains("no such function") => State::UndefinedFunction,
-        ffi::SQLITE_ERROR => State::Syntax,
-        _ => State::Internal,
+        | ffi::SQLITE_CONSTRAINT_ROWID => SqlState::UniqueViolation,
+        ffi::SQLITE_CONSTRAINT_NOTNULL => SqlState::NotNullViolation,
+        ffi::SQLITE_CONSTRAINT_FOREIGNKEY => SqlState::ForeignKeyViolation,
+        ffi::SQLITE_CONSTRAINT_CHECK => SqlState::CheckViolation,
+        ffi::SQLITE_READONLY => SqlState::ReadOnly,
+        _ if message.contains("no such table") => SqlState::UndefinedTable,
+        _ if message.contains("already exists") => SqlState::DuplicateTable,
+        _ if message.contains("no such column") => SqlState::UndefinedColumn,
+        _ if message.contains("no such function") => SqlState::UndefinedFunction,
+        ffi::SQLITE_ERROR => SqlState::Syntax,
+        _ => SqlState::Internal,
     }
 }
--- a/components/standin/src/function.rs
+++ b/components/standin/src/function.rs
@@ -32,8 +32,9 @@
 }
 
 /// Reads `SELECT * FROM trefoil_NAME(ARGUMENTS)`; `None` for all else.
-pub fn read(text: &str) -> Option<Function> {
-    let lower = sql::strip(text).trim_end_matches([';', ' ', '\n']).to_ascii_lowercase();
+pub fn parse(text: &str) -> Option<Function> {
+    let lower =
+        sql::strip_leading_comments(text).trim_end_matches([';', ' ', '\n']).to_ascii_lowercase();
     let (head, rest) = lower.split_once('(')?;
     let (arguments, tail) = rest.split_once(')')?;
     let words: Vec<_> = head.split_whitespace().collect();
--- a/components/standin/src/group.rs
+++ b/components/standin/src/group.rs
@@ -35,7 +35,7 @@
         let servers = (0..settings.servers).map(|n| Server::new(&settings, n, folder.path()));
         let servers = servers.collect::<Result<Vec<_>, _>>()?;
         for server in &servers {
-            server.meet(servers.iter().map(Arc::downgrade).collect());
+            server.set_peers(servers.iter().map(Arc::downgrade).collect());
             server.start().await?;
         }
         let group = Self { settings, servers, _folder: folder };
@@ -49,12 +49,12 @@
         let Some((first, others)) = self.servers.split_first() else {
             return;
         };
-        first.change(|core| {
-            core.log.fence(FIRST_TERM);
-            core.log.promote(FIRST_TERM);
+        first.change(|storage| {
+            storage.log.fence(FIRST_TERM);
+            storage.log.promote(FIRST_TERM);
         });
         for other in others {
-            other.change(|core| core.log.follow(FIRST_TERM, first.address()));
+            other.change(|storage| storage.log.follow(FIRST_TERM, first.address()));
         }
     }
 
@@ -91,25 +91,25 @@
     /// # Errors
     /// [`Failure::Fault`] where there is no primary or no such server,
     /// [`Failure::Listen`] when a server can't start again.
-    pub async fn fault(&self, fault: Fault) -> Result<(), Report<Failure>> {
+    pub async fn inject(&self, fault: Fault) -> Result<(), Report<Failure>> {
         info!(self.settings.log, "fault"; "group" => %self.settings.name, "fault" => ?fault);
         let primary = || self.primary().ok_or_else(|| Report::new(Failure::Fault));
         let server = |index: usize| self.servers.get(index).ok_or(Failure::Fault);
         match fault {
             Fault::PrimaryCrash => self.servers[primary()?].crash().await,
-            Fault::PrimaryPartition => self.servers[primary()?].set_cut(true),
+            Fault::PrimaryPartition => self.servers[primary()?].set_partitioned(true),
             Fault::ReplicaLag(lag) => self.servers.iter().for_each(|server| server.set_lag(lag)),
             Fault::Heal => self.heal().await?,
             Fault::Leave(index) => server(index)?.set_leaving(true),
-            Fault::Slow(index, times) => server(index)?.set_slow(times),
+            Fault::Slow(index, times) => server(index)?.set_slowdown(times),
         }
         Ok(())
     }
 
     async fn heal(&self) -> Result<(), Report<Failure>> {
         for server in &self.servers {
-            server.set_cut(false);
-            server.set_slow(1);
+            server.set_partitioned(false);
+            server.set_slowdown(1);
             server.set_lag(self.settings.lag);
             server.set_leaving(false);
             server.start().await?;
--- a/components/standin/src/infer.rs
+++ b/components/standin/src/infer.rs
@@ -40,7 +40,7 @@
     let mut prepared = connection.prepare_cached(COLUMNS)?;
     let rows = prepared.query_map([], |row| {
         let (name, declared): (String, String) = (row.get(0)?, row.get(1)?);
-        Ok((name.to_ascii_lowercase(), Kind::of_declared(&declared)))
+        Ok((name.to_ascii_lowercase(), Kind::from_declaration(&declared)))
     })?;
     rows.collect()
 }
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -6,17 +6,16 @@
 //! must: status, fence, promote, follow and mark.
 //!
 //! - [`log`]: the replication log and its terms, a plain state machine.
-//! - [`store`]: the SQLite database of one server.
-//! - [`core`]: log and database of one server under one lock.
+//! - [`sqlite`]: the SQLite database of one server.
+//! - [`storage`]: log and database of one server under one lock.
 //! - [`server`]: one server: listener, limits and faults.
 //! - [`session`]: one caller's connection.
-//! - [`stream`]: replication, from the replica's side.
+//! - [`replication`]: replication, from the replica's side.
 //! - [`announce`]: how a server makes itself known to control.
 //! - [`group`]: the servers of a group, and the faults put on them.
 
 pub mod announce;
 pub mod answer;
-pub mod core;
 pub mod counters;
 pub mod failure;
 pub mod fault;
@@ -24,12 +23,13 @@
 pub mod group;
 pub mod infer;
 pub mod log;
+pub mod replication;
 pub mod server;
 pub mod session;
 pub mod settings;
 pub mod sql;
-pub mod store;
-pub mod stream;
+pub mod sqlite;
+pub mod storage;
 pub mod transaction;
 pub mod value;
 
--- a/components/standin/src/log.rs
+++ b/components/standin/src/log.rs
@@ -13,7 +13,7 @@
 use crate::value::Value;
 
 /// Entries that one offer carries at most.
-pub const OFFER_ENTRIES: usize = 1_024;
+pub const MAX_BATCH_ENTRIES: usize = 1_024;
 
 /// One statement of a transaction that committed.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,9 +35,9 @@
 
 /// What a primary offers to a replica.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct Batch {
     /// Last position up to which both logs are alike.
-    pub agreed: Position,
+    pub match_position: Position,
     /// Entries that follow it, in order.
     pub entries: Vec<Arc<Entry>>,
 }
@@ -48,8 +48,8 @@
     /// The server has gone on to another term or primary.
     Refused,
     /// The log now ends with the offer's last entry.
-    Kept,
-    /// As [`Receipt::Kept`], and entries that were applied have been cut off.
+    Appended,
+    /// As [`Receipt::Appended`], and entries that were applied have been cut off.
     Rewound,
 }
 
@@ -61,7 +61,7 @@
     following: Option<SocketAddr>,
     entries: Vec<Arc<Entry>>,
     // where each term of the log begins, as in a history, but never trimmed
-    runs: Vec<Mark>,
+    term_starts: Vec<Mark>,
     applied: Position,
     version: u64,
 }
@@ -73,7 +73,7 @@
             role: Role::Replica,
             following: None,
             entries: Vec::new(),
-            runs: Vec::new(),
+            term_starts: Vec::new(),
             applied: Position(0),
             version: 1,
         }
@@ -120,15 +120,15 @@
     }
 
     /// Where each term of the log begins.
-    pub fn runs(&self) -> &[Mark] {
-        &self.runs
+    pub fn term_starts(&self) -> &[Mark] {
+        &self.term_starts
     }
 
     /// The same, in the form of a report.
     pub fn history(&self) -> History {
         let mut history = History::default();
-        for run in &self.runs {
-            history.begin(run.term, run.position);
+        for start in &self.term_starts {
+            history.begin(start.term, start.position);
         }
         history
     }
@@ -156,7 +156,7 @@
 
     /// Whether [`Log::promote`] at `term` would make this server the primary
     /// once nothing is pending.
-    pub fn promotable(&self, term: Term) -> bool {
+    pub fn is_promotable(&self, term: Term) -> bool {
         term == self.term
             && term > self.last().term
             && self.role == Role::Replica
@@ -166,7 +166,7 @@
     /// Makes a server fenced at exactly `term` its primary and starts the term
     /// with an entry; changes nothing elsewhere, or while entries are pending.
     pub fn promote(&mut self, term: Term) {
-        if !self.promotable(term) || !self.pending().is_empty() {
+        if !self.is_promotable(term) || !self.pending().is_empty() {
             return;
         }
         self.role = Role::Primary;
@@ -211,30 +211,30 @@
     /// What the primary of `term` sends to a replica whose log begins its
     /// terms at `runs` and ends at `last`; `None` where this server is no
     /// such primary.
-    pub fn offer(&self, term: Term, runs: &[Mark], last: Position) -> Option<Offer> {
+    pub fn next_batch(&self, term: Term, term_starts: &[Mark], last: Position) -> Option<Batch> {
         if self.role != Role::Primary || self.term != term {
             return None;
         }
-        let agreed = self.agreed(runs, last);
-        let from = agreed.0 as usize;
-        let until = self.entries.len().min(from + OFFER_ENTRIES);
-        Some(Offer { agreed, entries: self.entries[from..until].to_vec() })
+        let match_position = self.match_position(term_starts, last);
+        let from = match_position.0 as usize;
+        let until = self.entries.len().min(from + MAX_BATCH_ENTRIES);
+        Some(Batch { match_position, entries: self.entries[from..until].to_vec() })
     }
 
     /// Takes an offer of the primary of `term` at `primary`.
-    pub fn receive(&mut self, term: Term, primary: SocketAddr, offer: &Offer) -> Receipt {
+    pub fn receive(&mut self, term: Term, primary: SocketAddr, batch: &Batch) -> Receipt {
         let follows = self.term == term && self.following == Some(primary);
-        if !follows || offer.agreed > self.last().position {
+        if !follows || batch.match_position > self.last().position {
             return Receipt::Refused;
         }
         let before = self.last();
         // a log that has reached the term is a part of its primary's, so an
         // offer that comes late has nothing to cut
-        let kept = if before.term == term { before.position } else { offer.agreed };
+        let kept = if before.term == term { before.position } else { batch.match_position };
         let rewound = kept < self.applied;
         self.truncate(kept);
-        let held = (kept.0 - offer.agreed.0) as usize;
-        for entry in offer.entries.iter().skip(held) {
+        let held = (kept.0 - batch.match_position.0) as usize;
+        for entry in batch.entries.iter().skip(held) {
             self.push(Arc::clone(entry));
         }
         if rewound {
@@ -243,7 +243,7 @@
         if rewound || self.last() != before {
             self.version += 1;
         }
-        if rewound { Receipt::Rewound } else { Receipt::Kept }
+        if rewound { Receipt::Rewound } else { Receipt::Appended }
     }
 
     /// Notes that reads see all entries up to `position`.
@@ -257,29 +257,30 @@
 
     fn push(&mut self, entry: Arc<Entry>) {
         if entry.term > self.last().term {
-            self.runs.push(Mark { term: entry.term, position: self.last().position });
+            self.term_starts.push(Mark { term: entry.term, position: self.last().position });
         }
         self.entries.push(entry);
     }
 
     fn truncate(&mut self, position: Position) {
         self.entries.truncate(position.0 as usize);
-        self.runs.retain(|run| run.position < position);
+        self.term_starts.retain(|start| start.position < position);
     }
 
-    fn agreed(&self, runs: &[Mark], last: Position) -> Position {
-        let mut agreed = Position(0);
-        for (index, run) in runs.iter().enumerate() {
-            if self.runs.get(index) != Some(run) {
-                return agreed;
+    fn match_position(&self, term_starts: &[Mark], last: Position) -> Position {
+        let mut match_position = Position(0);
+        for (index, start) in term_starts.iter().enumerate() {
+            if self.term_starts.get(index) != Some(start) {
+                return match_position;
             }
-            let theirs = runs.get(index + 1).map_or(last, |next| next.position);
-            let ours = self.runs.get(index + 1).map_or(self.last().position, |next| next.position);
-            agreed = theirs.min(ours);
+            let theirs = term_starts.get(index + 1).map_or(last, |next| next.position);
+            let ours =
+                self.term_starts.get(index + 1).map_or(self.last().position, |next| next.position);
+            match_position = theirs.min(ours);
             if theirs != ours {
-                return agreed;
+                return match_position;
             }
         }
-        agreed
+        match_position
     }
 }
--- a/components/standin/src/server.rs
+++ b/components/standin/src/server.rs
@@ -15,12 +15,12 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::core::Core;
 use crate::counters::Counters;
 use crate::failure::{Failure, Rejection};
 use crate::function::Function;
 use crate::settings::Settings;
-use crate::{announce, session, stream};
+use crate::storage::Storage;
+use crate::{announce, replication, session};
 
 /// One server.
 #[derive(Debug)]
@@ -37,15 +37,15 @@
     pub slots: Semaphore,
     /// Where it logs.
     pub log: Logger,
-    core: Mutex<Core>,
+    storage: Mutex<Storage>,
     changed: watch::Sender<u64>,
     clock: Clock,
     address: Mutex<SocketAddr>,
     incarnation: AtomicU64,
-    heard: AtomicU64,
-    cut: AtomicBool,
+    last_contact: AtomicU64,
+    partitioned: AtomicBool,
     leaving: AtomicBool,
-    slow: AtomicU32,
+    slowdown: AtomicU32,
     lag: AtomicU64,
     peers: OnceLock<Vec<Weak<Server>>>,
     life: Mutex<Life>,
@@ -78,22 +78,22 @@
         let name = name.change_context(Failure::Name)?;
         let folder = folder.join(name.as_str().replace(['/', ':'], "_"));
         std::fs::create_dir_all(&folder).change_context(Failure::Folder)?;
-        let core = Core::open(&folder).change_context(Failure::Database)?;
+        let storage = Storage::open(&folder).change_context(Failure::Database)?;
         let zone = settings.zones.get(index % settings.zones.len().max(1));
         Ok(Arc::new(Self {
             zone: zone.unwrap_or(&settings.name).clone(),
             counters: Counters::default(),
             slots: Semaphore::new(settings.slots),
             log: settings.log.new(o!("server" => name.to_string())),
-            core: Mutex::new(core),
+            storage: Mutex::new(storage),
             changed: watch::Sender::new(1),
             clock: Clock::start(),
             address: Mutex::new(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
             incarnation: AtomicU64::new(0),
-            heard: AtomicU64::new(0),
-            cut: AtomicBool::new(false),
+            last_contact: AtomicU64::new(0),
+            partitioned: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            slow: AtomicU32::new(1),
+            slowdown: AtomicU32::new(1),
             lag: AtomicU64::new(settings.lag.as_micros() as u64),
             peers: OnceLock::new(),
             life: Mutex::new(Life::Stopped { _port: None }),
@@ -105,7 +105,7 @@
     }
 
     /// Makes the other servers of the group known; only the first call counts.
-    pub fn meet(&self, peers: Vec<Weak<Self>>) {
+    pub fn set_peers(&self, peers: Vec<Weak<Self>>) {
         drop(self.peers.set(peers));
     }
 
@@ -131,12 +131,12 @@
         let data = token.child_token();
         let tasks = TaskTracker::new();
         tasks.spawn(until(token.clone(), listen(Arc::clone(self), listener, token.clone())));
-        tasks.spawn(until(token.clone(), stream::copy(Arc::clone(self))));
-        tasks.spawn(until(token.clone(), stream::apply(Arc::clone(self))));
+        tasks.spawn(until(token.clone(), replication::pull_entries(Arc::clone(self))));
+        tasks.spawn(until(token.clone(), replication::apply_entries(Arc::clone(self))));
         tasks.spawn(until(token.clone(), announce::run(Arc::clone(self))));
         *lock(&self.life) = Life::Running { token, data, tasks };
-        if let Some(rebuild) = self.read(Core::unfinished) {
-            self.spawn(stream::build(Arc::clone(self), rebuild));
+        if let Some(rebuild) = self.read(Storage::unfinished_rebuild) {
+            self.spawn(replication::rebuild_database(Arc::clone(self), rebuild));
         }
         Ok(())
     }
@@ -156,7 +156,7 @@
             tasks
         };
         tasks.wait().await;
-        self.change(|core| core.log.restart());
+        self.change(|storage| storage.log.restart());
         *lock(&self.life) = Life::Stopped { _port: self.reserve() };
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Ends all data sessions, as the restart after a rewind does.
-    pub fn reset_data(&self) {
+    pub fn close_data_sessions(&self) {
         if let Life::Running { token, data, .. } = &mut *lock(&self.life) {
             data.cancel();
             *data = token.child_token();
@@ -216,15 +216,15 @@
     }
 
     /// Asks something of log and database.
-    pub fn read<T>(&self, ask: impl FnOnce(&mut Core) -> T) -> T {
-        ask(&mut lock(&self.core))
+    pub fn read<T>(&self, ask: impl FnOnce(&mut Storage) -> T) -> T {
+        ask(&mut lock(&self.storage))
     }
 
     /// Changes log or database, and wakes who waits.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Core) -> T) -> T {
+    pub fn change<T>(&self, change: impl FnOnce(&mut Storage) -> T) -> T {
         let (answer, version) = {
-            let mut core = lock(&self.core);
-            (change(&mut core), core.log.version())
+            let mut storage = lock(&self.storage);
+            (change(&mut storage), storage.log.version())
         };
         self.changed.send_if_modified(|known| {
             let newer = version > *known;
@@ -246,19 +246,19 @@
     }
 
     /// Whether records can pass between two servers.
-    pub fn reaches(&self, other: &Self) -> bool {
-        let cut = |server: &Self| server.cut.load(Ordering::Acquire);
-        other.is_running() && !cut(self) && !cut(other)
+    pub fn is_connected_to(&self, other: &Self) -> bool {
+        let partitioned = |server: &Self| server.partitioned.load(Ordering::Acquire);
+        other.is_running() && !partitioned(self) && !partitioned(other)
     }
 
     /// Cuts the server off from its group, or joins it again.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::Release);
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::Release);
     }
 
     /// Notes that the primary was heard of.
-    pub fn hear(&self) {
-        self.heard.store(self.now().as_micros(), Ordering::Release);
+    pub fn record_contact(&self) {
+        self.last_contact.store(self.now().as_micros(), Ordering::Release);
     }
 
     /// Time between the receipt of a record and its sight by reads.
@@ -272,13 +272,13 @@
     }
 
     /// Time that a statement holds its slot.
-    pub fn work(&self) -> Duration {
-        self.settings.work * self.slow.load(Ordering::Acquire)
+    pub fn statement_time(&self) -> Duration {
+        self.settings.statement_time * self.slowdown.load(Ordering::Acquire)
     }
 
     /// Makes statements take so many times as long.
-    pub fn set_slow(&self, times: u32) {
-        self.slow.store(times.max(1), Ordering::Release);
+    pub fn set_slowdown(&self, times: u32) {
+        self.slowdown.store(times.max(1), Ordering::Release);
     }
 
     /// Whether it announces that it leaves.
@@ -293,19 +293,19 @@
 
     /// What the server says of itself.
     pub fn status(&self) -> Status {
-        let heard = Instant::from_micros(self.heard.load(Ordering::Acquire));
-        let silence = self.now().since(heard);
-        self.read(|core| Status {
+        let last_contact = Instant::from_micros(self.last_contact.load(Ordering::Acquire));
+        let silence = self.now().since(last_contact);
+        self.read(|storage| Status {
             server: self.name.clone(),
             incarnation: self.incarnation(),
-            term: core.log.term(),
-            log_term: core.log.last().term,
-            received: core.log.last().position,
-            applied: core.log.applied().position,
-            role: core.log.role(),
-            silence: if core.log.role() == Role::Primary { Duration::ZERO } else { silence },
-            history: core.log.history(),
-            version: core.log.version(),
+            term: storage.log.term(),
+            log_term: storage.log.last().term,
+            received: storage.log.last().position,
+            applied: storage.log.applied().position,
+            role: storage.log.role(),
+            silence: if storage.log.role() == Role::Primary { Duration::ZERO } else { silence },
+            history: storage.log.history(),
+            version: storage.log.version(),
         })
     }
 
@@ -320,10 +320,10 @@
                 let newer = changes.wait_for(|version| *version != after);
                 drop(tokio::time::timeout(wait, newer).await);
             }
-            Function::Fence(term) => self.change(|core| core.log.fence(term)),
-            Function::Promote(term) => self.change(|core| core.promote(term))?,
+            Function::Fence(term) => self.change(|storage| storage.log.fence(term)),
+            Function::Promote(term) => self.change(|storage| storage.promote(term))?,
             Function::Follow { term, primary } => {
-                self.change(|core| core.log.follow(term, primary));
+                self.change(|storage| storage.log.follow(term, primary));
             }
             Function::Mark => {}
         }
@@ -331,7 +331,7 @@
     }
 
     /// Makes a session's number and key, by which its statements are cancelled.
-    pub fn enlist(&self) -> ((i32, i32), Arc<Notify>) {
+    pub fn register_session(&self) -> ((i32, i32), Arc<Notify>) {
         let pid = self.sessions.fetch_add(1, Ordering::Relaxed);
         let key = (pid, rand::random());
         let cancel = Arc::new(Notify::new());
@@ -340,7 +340,7 @@
     }
 
     /// Forgets a session's key.
-    pub fn dismiss(&self, key: (i32, i32)) {
+    pub fn unregister_session(&self, key: (i32, i32)) {
         lock(&self.cancels).remove(&key);
     }
 
--- a/components/standin/src/session.rs
+++ b/components/standin/src/session.rs
@@ -15,7 +15,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::answer::{self, Severity};
-use crate::failure::{Rejection, State};
+use crate::failure::{Rejection, SqlState};
 use crate::server::Server;
 
 mod extended;
@@ -41,8 +41,8 @@
     drop(stream.set_nodelay(true));
     let mut data = None;
     let ended = {
-        let mut wire = Wire::new(&mut stream);
-        let talk = talk(&server, &mut wire, &mut data);
+        let mut connection = Connection::new(&mut stream);
+        let talk = talk(&server, &mut connection, &mut data);
         token.run_until_cancelled(talk).await
     };
     match ended {
@@ -54,7 +54,7 @@
 
 /// Both directions of a connection.
 #[derive(Debug)]
-pub struct Wire<'a> {
+pub struct Connection<'a> {
     stream: &'a mut TcpStream,
     inbox: BytesMut,
     context: DecodeContext,
@@ -62,7 +62,7 @@
     pub outbox: BytesMut,
 }
 
-impl<'a> Wire<'a> {
+impl<'a> Connection<'a> {
     fn new(stream: &'a mut TcpStream) -> Self {
         let context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
         let inbox = BytesMut::with_capacity(READ_BYTES);
@@ -88,42 +88,46 @@
 
 async fn talk(
     server: &Arc<Server>,
-    wire: &mut Wire<'_>,
+    connection: &mut Connection<'_>,
     data: &mut Option<CancellationToken>,
 ) -> std::io::Result<()> {
-    let Some(startup) = open(server, wire).await? else {
+    let Some(startup) = open(server, connection).await? else {
         return Ok(());
     };
     let user = startup.parameters.get("user").map_or("", String::as_str);
     if user == backend::sql::USER {
-        return converse(server, wire, user).await;
+        return converse(server, connection, user).await;
     }
-    let Some(_held) = server.counters.connect(server.settings.connections) else {
-        let rejection = Rejection::new(State::TooMany, "sorry, too many clients already");
-        answer::put_error(&mut wire.outbox, Severity::Fatal, &rejection);
-        return wire.flush().await;
+    let Some(_held) = server.counters.acquire_connection(server.settings.connections) else {
+        let rejection =
+            Rejection::new(SqlState::TooManyConnections, "sorry, too many clients already");
+        answer::put_error(&mut connection.outbox, Severity::Fatal, &rejection);
+        return connection.flush().await;
     };
     let token = data.insert(server.data_token()).clone();
-    tokio::time::sleep(server.settings.connect).await;
-    let ended = token.run_until_cancelled(converse(server, wire, user)).await;
+    tokio::time::sleep(server.settings.connect_time).await;
+    let ended = token.run_until_cancelled(converse(server, connection, user)).await;
     if let Some(ended) = ended {
         return ended;
     }
-    let rejection = Rejection::new(State::Shutdown, "the server was rewound");
-    answer::put_error(&mut wire.outbox, Severity::Fatal, &rejection);
-    wire.flush().await
+    let rejection = Rejection::new(SqlState::Shutdown, "the server was rewound");
+    answer::put_error(&mut connection.outbox, Severity::Fatal, &rejection);
+    connection.flush().await
 }
 
 // none where the connection only cancels, or ends before its start-up message
-async fn open(server: &Server, wire: &mut Wire<'_>) -> std::io::Result<Option<Startup>> {
+async fn open(
+    server: &Server,
+    connection: &mut Connection<'_>,
+) -> std::io::Result<Option<Startup>> {
     loop {
-        match wire.next().await? {
+        match connection.next().await? {
             Some(Message::SslNegotiation(SslNegotiationMetaMessage::None)) => {
-                wire.context.awaiting_frontend_ssl = false;
+                connection.context.awaiting_frontend_ssl = false;
             }
             Some(Message::SslNegotiation(_)) => {
-                answer::put(&mut wire.outbox, &Reply::SslResponse(SslResponse::Refuse));
-                wire.flush().await?;
+                answer::put(&mut connection.outbox, &Reply::SslResponse(SslResponse::Refuse));
+                connection.flush().await?;
             }
             Some(Message::CancelRequest(cancel)) => {
                 if let SecretKey::I32(secret) = cancel.secret_key {
@@ -132,7 +136,7 @@
                 return Ok(None);
             }
             Some(Message::Startup(startup)) => {
-                wire.context.awaiting_frontend_startup = false;
+                connection.context.awaiting_frontend_startup = false;
                 return Ok(Some(startup));
             }
             Some(_) | None => return Ok(None),
@@ -140,16 +144,20 @@
     }
 }
 
-async fn converse(server: &Arc<Server>, wire: &mut Wire<'_>, user: &str) -> std::io::Result<()> {
-    let (key, cancel) = server.enlist();
+async fn converse(
+    server: &Arc<Server>,
+    connection: &mut Connection<'_>,
+    user: &str,
+) -> std::io::Result<()> {
+    let (key, cancel) = server.register_session();
     let _listed = Listed { server, key };
-    greet(&mut wire.outbox, key);
-    wire.flush().await?;
+    greet(&mut connection.outbox, key);
+    connection.flush().await?;
     let mut session = Session::new(server, cancel, user == backend::sql::USER);
-    while let Some(message) = wire.next().await? {
-        let go_on = session.on(message, &mut wire.outbox).await;
-        if session.flushes() {
-            wire.flush().await?;
+    while let Some(message) = connection.next().await? {
+        let go_on = session.on(message, &mut connection.outbox).await;
+        if session.is_flush_due() {
+            connection.flush().await?;
         }
         if !go_on {
             return Ok(());
@@ -165,16 +173,16 @@
 
 impl Drop for Listed<'_> {
     fn drop(&mut self) {
-        self.server.dismiss(self.key);
+        self.server.unregister_session(self.key);
     }
 }
 
 fn greet(outbox: &mut BytesMut, (pid, secret): (i32, i32)) {
     answer::put(outbox, &Reply::Authentication(Authentication::Ok));
     for (name, value) in PARAMETERS {
-        answer::put_parameter(outbox, name, value);
+        answer::put_parameter_status(outbox, name, value);
     }
     let key = BackendKeyData::new(pid, SecretKey::I32(secret));
     answer::put(outbox, &Reply::BackendKeyData(key));
-    answer::put_ready(outbox, TransactionStatus::Idle);
+    answer::put_ready_for_query(outbox, TransactionStatus::Idle);
 }
--- a/components/standin/src/session/extended.rs
+++ b/components/standin/src/session/extended.rs
@@ -12,7 +12,7 @@
 use pgwire::messages::{PgWireBackendMessage as Reply, PgWireFrontendMessage as Message};
 
 use crate::answer;
-use crate::failure::{Rejection, State};
+use crate::failure::{Rejection, SqlState};
 use crate::log::Statement;
 use crate::session::run::{Outcome, Session};
 use crate::value::{self, Kind};
@@ -66,7 +66,7 @@
                 self.close(&close, outbox);
                 Ok(())
             }
-            _ => Err(Rejection::new(State::Unsupported, "the message is not offered")),
+            _ => Err(Rejection::new(SqlState::Unsupported, "the message is not offered")),
         };
         if let Err(rejection) = answered {
             self.fail(&rejection, outbox);
@@ -76,7 +76,7 @@
 
     fn parse(&mut self, parse: Parse, outbox: &mut BytesMut) -> Result<(), Rejection> {
         let description = self.describe(&parse.query)?;
-        let stated = parse.type_oids.iter().map(|oid| (*oid != 0).then(|| Kind::of_oid(*oid)));
+        let stated = parse.type_oids.iter().map(|oid| (*oid != 0).then(|| Kind::from_oid(*oid)));
         let mut parameters = description.parameters;
         for (parameter, kind) in parameters.iter_mut().zip(stated) {
             *parameter = kind.unwrap_or(*parameter);
@@ -91,7 +91,10 @@
         let name = bind.statement_name.unwrap_or_default();
         let prepared = self.prepared(&name)?.clone();
         if bind.parameters.len() != prepared.parameters.len() {
-            return Err(Rejection::new(State::Protocol, "the number of parameters is wrong"));
+            return Err(Rejection::new(
+                SqlState::ProtocolViolation,
+                "the number of parameters is wrong",
+            ));
         }
         let formats = &bind.parameter_format_codes;
         let value = |(index, (bytes, kind)): (usize, (&Option<_>, &Kind))| {
@@ -109,7 +112,7 @@
     }
 
     fn prepared(&self, name: &str) -> Result<&Prepared, Rejection> {
-        let missing = || Rejection::new(State::UndefinedStatement, "no such prepared statement");
+        let missing = || Rejection::new(SqlState::UndefinedStatement, "no such prepared statement");
         self.extended.prepared.get(name).ok_or_else(missing)
     }
 
@@ -148,14 +151,14 @@
         let rows = if limit == 0 { rows } else { &rows[..limit.min(rows.len())] };
         let kinds: Vec<_> = portal.prepared.columns.iter().map(|(_, kind)| *kind).collect();
         for row in rows {
-            answer::put_row(outbox, row, &kinds, &portal.formats);
+            answer::put_data_row(outbox, row, &kinds, &portal.formats);
         }
         portal.sent += rows.len();
         let left = portal.sent < outcome.output.rows.len();
         match &outcome.tag {
             _ if left => answer::put(outbox, &Reply::PortalSuspended(PortalSuspended::new())),
             None => answer::put(outbox, &Reply::EmptyQueryResponse(EmptyQueryResponse::new())),
-            Some(tag) => answer::put_complete(outbox, tag),
+            Some(tag) => answer::put_command_complete(outbox, tag),
         }
         portal.rest = Some(outcome);
         self.extended.portals.insert(name, portal);
@@ -174,12 +177,12 @@
 }
 
 fn no_portal() -> Rejection {
-    Rejection::new(State::UndefinedPortal, "no such portal")
+    Rejection::new(SqlState::UndefinedPortal, "no such portal")
 }
 
 fn put_columns(outbox: &mut BytesMut, columns: &[(String, Kind)], formats: &[i16]) {
     if columns.is_empty() {
         return answer::put(outbox, &Reply::NoData(NoData::new()));
     }
-    answer::put_columns(outbox, columns, formats);
+    answer::put_row_description(outbox, columns, formats);
 }
--- a/components/standin/src/session/run.rs
+++ b/components/standin/src/session/run.rs
@@ -11,15 +11,15 @@
 use tokio::sync::{Notify, SemaphorePermit};
 
 use crate::answer::{self, Severity};
-use crate::counters::Held;
-use crate::failure::{Rejection, State};
+use crate::counters::Guard;
+use crate::failure::{Rejection, SqlState};
 use crate::function::{self, Function};
 use crate::log::Statement;
 use crate::server::Server;
 use crate::session::extended::Extended;
 use crate::sql::{self, Command};
-use crate::store::{self, Column, Description, Output};
-use crate::transaction::{Done, Transaction};
+use crate::sqlite::{self, Column, Description, Output};
+use crate::transaction::{Transaction, Write};
 use crate::value::{self, Kind, Value};
 
 /// A session past its start-up.
@@ -64,7 +64,7 @@
     }
 
     /// Whether what waits is to be sent now.
-    pub fn flushes(&self) -> bool {
+    pub fn is_flush_due(&self) -> bool {
         self.flush
     }
 
@@ -82,7 +82,7 @@
     }
 
     async fn query(&mut self, text: &str, outbox: &mut BytesMut) {
-        let parts = sql::split(text);
+        let parts = sql::split_statements(text);
         if parts.is_empty() {
             answer::put(outbox, &Reply::EmptyQueryResponse(EmptyQueryResponse::new()));
         }
@@ -106,7 +106,7 @@
         if implicit && let Err(rejection) = self.commit() {
             answer::put_error(outbox, Severity::Error, &rejection);
         }
-        answer::put_ready(outbox, self.status());
+        answer::put_ready_for_query(outbox, self.status());
         self.flush = true;
     }
 
@@ -129,15 +129,15 @@
 
     /// Executes one statement.
     pub(super) async fn execute(&mut self, statement: Statement) -> Result<Outcome, Rejection> {
-        if let Some(function) = function::read(&statement.sql) {
+        if let Some(function) = function::parse(&statement.sql) {
             return self.call(function).await;
         }
-        let command = sql::command(&statement.sql);
+        let command = sql::classify(&statement.sql);
         let failed = self.transaction.as_ref().is_some_and(|open| open.failed);
         let ends = matches!(command, Command::Commit | Command::Rollback | Command::RollbackTo);
         if failed && !ends {
             let message = "current transaction is aborted, commands ignored until end of block";
-            return Err(Rejection::new(State::InFailed, message));
+            return Err(Rejection::new(SqlState::FailedTransaction, message));
         }
         match command {
             Command::Empty => Ok(Outcome { output: Output::default(), tag: None }),
@@ -158,9 +158,9 @@
             Command::Set => Ok(Outcome::bare("SET")),
             Command::Discard => Ok(Outcome::bare("DISCARD ALL")),
             Command::Show(name) => Ok(show(name)),
-            Command::Refused => {
+            Command::Unsupported => {
                 let message = "the stand-in does not offer this statement";
-                Err(Rejection::new(State::Unsupported, message))
+                Err(Rejection::new(SqlState::Unsupported, message))
             }
             Command::Other => self.run(statement).await,
         }
@@ -170,31 +170,31 @@
         let status = self.server.call(function).await?;
         let (columns, row) = match function {
             Function::Mark => {
-                let mark = self.server.read(|core| core.log.applied());
+                let mark = self.server.read(|storage| storage.log.applied());
                 let numbers =
                     [mark.term.0, mark.position.0].map(|n| Value::Integer(n.cast_signed()));
                 (vec!["term", "position"], numbers.to_vec())
             }
-            _ => (backend::sql::COLUMNS.to_vec(), value::row_of(&status)),
+            _ => (backend::sql::COLUMNS.to_vec(), value::status_row(&status)),
         };
         let column = |name: &str| Column { name: name.to_owned(), declared: None };
         let columns = columns.into_iter().map(column).collect();
-        let output = Output { columns, rows: vec![row], changed: 0, read: true };
+        let output = Output { columns, rows: vec![row], changed: 0, read_only: true };
         Ok(Outcome { output, tag: Some("SELECT 1".to_owned()) })
     }
 
     fn savepoint(&mut self, statement: Statement) -> Result<Outcome, Rejection> {
-        let tag = sql::tag(&statement.sql, 0, 0);
-        let primary = self.server.read(|core| core.log.role()) == Role::Primary;
+        let tag = sql::command_tag(&statement.sql, 0, 0);
+        let primary = self.server.read(|storage| storage.log.role()) == Role::Primary;
         let open = self.transaction.get_or_insert_default();
         let failed = std::mem::take(&mut open.failed);
         if !primary {
             return Ok(Outcome::bare(&tag));
         }
         let server = &self.server;
-        match server.read(|core| core.trial(open, &statement)) {
+        match server.read(|storage| storage.dry_run(open, &statement)) {
             Ok(output) => {
-                open.done.push(Done { statement, output });
+                open.writes.push(Write { statement, output });
                 Ok(Outcome::bare(&tag))
             }
             Err(rejection) => {
@@ -206,70 +206,70 @@
 
     async fn run(&mut self, statement: Statement) -> Result<Outcome, Rejection> {
         let server = Arc::clone(&self.server);
-        let _busy = occupy(&server, &self.cancel, sql::pause(&statement.sql)).await?;
+        let _busy = occupy(&server, &self.cancel, sql::sleep_duration(&statement.sql)).await?;
         let output = self.run_now(&statement)?;
-        let tag = sql::tag(&statement.sql, output.rows.len(), output.changed);
-        if !output.read {
-            let term = self.server.read(|core| core.log.term());
+        let tag = sql::command_tag(&statement.sql, output.rows.len(), output.changed);
+        if !output.read_only {
+            let term = self.server.read(|storage| storage.log.term());
             let open = self.transaction.get_or_insert_default();
             open.term.get_or_insert(term);
-            open.done.push(Done { statement, output: output.clone() });
+            open.writes.push(Write { statement, output: output.clone() });
         }
         Ok(Outcome { output, tag: Some(tag) })
     }
 
     fn run_now(&mut self, statement: &Statement) -> Result<Output, Rejection> {
         let empty = Transaction::default();
-        let wrote = self.transaction.as_ref().is_some_and(|open| !open.done.is_empty());
+        let wrote = self.transaction.as_ref().is_some_and(|open| !open.writes.is_empty());
         if !wrote {
             let reader = self.reader()?;
-            if store::reads(reader, &statement.sql)? {
-                let output = store::run(reader, statement)?;
+            if sqlite::is_read_only(reader, &statement.sql)? {
+                let output = sqlite::run(reader, statement)?;
                 self.count_read();
                 return Ok(output);
             }
         }
         let open = self.transaction.as_ref().unwrap_or(&empty);
-        self.server.read(|core| core.trial(open, statement))
+        self.server.read(|storage| storage.dry_run(open, statement))
     }
 
     fn count_read(&self) {
         if !self.probe && self.transaction.is_none() {
-            let primary = self.server.read(|core| core.log.role()) == Role::Primary;
-            self.server.counters.read(primary);
+            let primary = self.server.read(|storage| storage.log.role()) == Role::Primary;
+            self.server.counters.record_read(primary);
         }
     }
 
     fn reader(&mut self) -> Result<&Connection, Rejection> {
-        let (generation, path) = self.server.read(|core| core.database())?;
+        let (generation, path) = self.server.read(|storage| storage.database())?;
         let current = self.reader.take().filter(|(opened, _)| *opened == generation);
         let reader = match current {
             Some(reader) => reader,
-            None => (generation, store::open(&path)?),
+            None => (generation, sqlite::open(&path)?),
         };
         Ok(&self.reader.insert(reader).1)
     }
 
     /// Describes a statement as this session sees it.
     pub(super) fn describe(&mut self, sql: &str) -> Result<Description, Rejection> {
-        let known = sql::command(sql) == Command::Other && function::read(sql).is_none();
+        let known = sql::classify(sql) == Command::Other && function::parse(sql).is_none();
         if !known {
             return Ok(Description::default());
         }
         match &self.transaction {
-            Some(open) if !open.done.is_empty() => {
-                self.server.read(|core| core.describe(open, sql))
+            Some(open) if !open.writes.is_empty() => {
+                self.server.read(|storage| storage.describe(open, sql))
             }
-            _ => store::describe(self.reader()?, sql),
+            _ => sqlite::describe(self.reader()?, sql),
         }
     }
 
     fn commit(&mut self) -> Result<(), Rejection> {
-        let Some(open) = self.transaction.take().filter(|open| !open.done.is_empty()) else {
+        let Some(open) = self.transaction.take().filter(|open| !open.writes.is_empty()) else {
             return Ok(());
         };
-        self.server.change(|core| core.commit(open))?;
-        self.server.counters.commit();
+        self.server.change(|storage| storage.commit(open))?;
+        self.server.counters.record_commit();
         Ok(())
     }
 }
@@ -279,26 +279,26 @@
     server: &'a Server,
     cancel: &Notify,
     pause: Duration,
-) -> Result<(SemaphorePermit<'a>, Held<'a>), Rejection> {
+) -> Result<(SemaphorePermit<'a>, Guard<'a>), Rejection> {
     let queued = server.slots.available_permits() == 0;
     if queued {
-        let role = server.read(|core| core.log.role());
+        let role = server.read(|storage| storage.log.role());
         debug!(server.log, "a statement found no free slot"; "role" => %role);
     }
-    let held = server.counters.statement(queued);
+    let held = server.counters.start_statement(queued);
     let work = async {
         let permit = server.slots.acquire().await;
-        tokio::time::sleep(server.work() + pause).await;
+        tokio::time::sleep(server.statement_time() + pause).await;
         permit
     };
     tokio::select! {
         permit = work => match permit {
             Ok(permit) => Ok((permit, held)),
-            Err(_closed) => Err(Rejection::new(State::Shutdown, "the server is stopping")),
+            Err(_closed) => Err(Rejection::new(SqlState::Shutdown, "the server is stopping")),
         },
         () = cancel.notified() => {
             let message = "canceling statement due to user request";
-            Err(Rejection::new(State::Cancelled, message))
+            Err(Rejection::new(SqlState::Cancelled, message))
         }
     }
 }
@@ -310,7 +310,7 @@
         columns: vec![Column { name, declared: Some(Kind::Text) }],
         rows: vec![vec![Value::Text(value.to_owned())]],
         changed: 0,
-        read: true,
+        read_only: true,
     };
     Outcome { output, tag: Some("SHOW".to_owned()) }
 }
@@ -324,10 +324,10 @@
     if !output.columns.is_empty() {
         let names = output.columns.iter().map(|column| column.name.clone());
         let columns: Vec<_> = names.zip(kinds.iter().copied()).collect();
-        answer::put_columns(outbox, &columns, &[]);
+        answer::put_row_description(outbox, &columns, &[]);
     }
     for row in &output.rows {
-        answer::put_row(outbox, row, &kinds, &[]);
+        answer::put_data_row(outbox, row, &kinds, &[]);
     }
-    answer::put_complete(outbox, tag);
+    answer::put_command_complete(outbox, tag);
 }
--- a/components/standin/src/settings.rs
+++ b/components/standin/src/settings.rs
@@ -7,10 +7,10 @@
 use slog::Logger;
 
 /// Time that a data connection takes to open.
-pub const CONNECT: Duration = Duration::from_millis(12);
+pub const CONNECT_TIME: Duration = Duration::from_millis(12);
 
 /// Time that each statement holds a slot beyond its own work.
-pub const WORK: Duration = Duration::from_millis(1);
+pub const STATEMENT_TIME: Duration = Duration::from_millis(1);
 
 /// Settings of a group.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     /// Data connections that a server accepts.
     pub connections: usize,
     /// Time that a data connection takes to open.
-    pub connect: Duration,
+    pub connect_time: Duration,
     /// Time between the receipt of a record and its sight by reads.
     pub lag: Duration,
     /// Web addresses of the control members to announce to; none for no
@@ -40,7 +40,7 @@
     /// it; else all start as replicas of term 0.
     pub settled: bool,
     /// Time that each statement holds a slot beyond its own work.
-    pub work: Duration,
+    pub statement_time: Duration,
     /// Where events are logged.
     pub log: Logger,
 }
@@ -54,13 +54,13 @@
             servers: 3,
             slots: 2,
             connections: 16,
-            connect: CONNECT,
+            connect_time: CONNECT_TIME,
             lag: Duration::from_millis(20),
             controls: Vec::new(),
             labels: BTreeMap::new(),
             seed: 0,
             settled: false,
-            work: WORK,
+            statement_time: STATEMENT_TIME,
             log: Logger::root(slog::Discard, slog::o!()),
         }
     }
--- a/components/standin/src/sql.rs
+++ b/components/standin/src/sql.rs
@@ -24,13 +24,13 @@
     /// Forgets the session's state.
     Discard,
     /// Is not offered.
-    Refused,
+    Unsupported,
     /// A statement for the database.
     Other,
 }
 
 /// Splits a text at the semicolons between its statements.
-pub fn split(text: &str) -> Vec<&str> {
+pub fn split_statements(text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut start = 0;
     let mut at = 0;
@@ -42,7 +42,7 @@
         at += token(&text.as_bytes()[at..]);
     }
     parts.push(&text[start..]);
-    parts.retain(|part| !strip(part).is_empty());
+    parts.retain(|part| !strip_leading_comments(part).is_empty());
     parts
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// The text without white space and comments before its first word.
-pub fn strip(text: &str) -> &str {
+pub fn strip_leading_comments(text: &str) -> &str {
     let mut rest = text.trim();
     while rest.starts_with("--") || rest.starts_with("/*") {
         rest = rest[token(rest.as_bytes())..].trim_start();
@@ -73,17 +73,21 @@
 
 /// The first words of a statement, in upper case.
 pub fn words(text: &str) -> impl Iterator<Item = String> + use<'_> {
-    strip(text)
+    strip_leading_comments(text)
         .split(|character: char| !(character.is_alphanumeric() || character == '_'))
         .filter(|word| !word.is_empty())
         .map(str::to_ascii_uppercase)
 }
 
 /// What a statement asks of the session.
-pub fn command(text: &str) -> Command {
+pub fn classify(text: &str) -> Command {
     let mut words = words(text);
     let Some(first) = words.next() else {
-        return if strip(text).is_empty() { Command::Empty } else { Command::Other };
+        return if strip_leading_comments(text).is_empty() {
+            Command::Empty
+        } else {
+            Command::Other
+        };
     };
     match first.as_str() {
         "BEGIN" | "START" => Command::Begin,
@@ -95,13 +99,13 @@
         "SHOW" => Command::Show(words.collect::<Vec<_>>().join(".").to_ascii_lowercase()),
         "DISCARD" | "DEALLOCATE" => Command::Discard,
         "COPY" | "LISTEN" | "NOTIFY" | "UNLISTEN" | "DECLARE" | "FETCH" | "PREPARE" | "EXECUTE"
-        | "LOCK" | "ATTACH" | "DETACH" | "PRAGMA" | "VACUUM" => Command::Refused,
+        | "LOCK" | "ATTACH" | "DETACH" | "PRAGMA" | "VACUUM" => Command::Unsupported,
         _ => Command::Other,
     }
 }
 
 /// The tag of a statement that has completed.
-pub fn tag(text: &str, rows: usize, changed: u64) -> String {
+pub fn command_tag(text: &str, rows: usize, changed: u64) -> String {
     let mut words = words(text);
     let first = words.next().unwrap_or_default();
     match first.as_str() {
@@ -122,7 +126,7 @@
 }
 
 /// The time that a statement asks to hold its slot by `trefoil_sleep(MS)`.
-pub fn pause(text: &str) -> Duration {
+pub fn sleep_duration(text: &str) -> Duration {
     let name = "trefoil_sleep(";
     let Some(at) = text.find(name) else {
         return Duration::ZERO;
--- a/components/standin/src/store.rs
+++ b/components/standin/src/sqlite.rs
@@ -5,7 +5,7 @@
 use rusqlite::Connection;
 use rusqlite::functions::FunctionFlags;
 
-use crate::failure::{Rejection, State};
+use crate::failure::{Rejection, SqlState};
 use crate::infer;
 use crate::log::Statement;
 use crate::value::{Kind, Value};
@@ -32,7 +32,7 @@
     /// Rows inserted, updated or deleted.
     pub changed: u64,
     /// Whether the statement only reads.
-    pub read: bool,
+    pub read_only: bool,
 }
 
 impl Output {
@@ -41,7 +41,7 @@
         let by_value = || {
             let values = self.rows.iter().map(|row| &row[column]);
             let first = values.into_iter().find(|value| !matches!(value, Value::Null));
-            first.map_or(Kind::Text, Kind::of_value)
+            first.map_or(Kind::Text, Kind::from_value)
         };
         self.columns[column].declared.unwrap_or_else(by_value)
     }
@@ -76,10 +76,10 @@
 pub fn run(connection: &Connection, statement: &Statement) -> Result<Output, Rejection> {
     let mut prepared = connection.prepare_cached(&statement.sql)?;
     bind(&mut prepared, &statement.values)?;
-    let read = prepared.readonly();
+    let read_only = prepared.readonly();
     if prepared.column_count() == 0 {
         let changed = prepared.raw_execute()? as u64;
-        return Ok(Output { changed, read, ..Output::default() });
+        return Ok(Output { changed, read_only, ..Output::default() });
     }
     let columns = columns(&prepared);
     let mut rows = Vec::new();
@@ -88,15 +88,17 @@
         let values = (0..columns.len()).map(|column| row.get(column));
         rows.push(values.collect::<rusqlite::Result<Vec<Value>>>()?);
     }
-    let changed = if read { 0 } else { connection.changes() };
-    Ok(Output { columns, rows, changed, read })
+    let changed = if read_only { 0 } else { connection.changes() };
+    Ok(Output { columns, rows, changed, read_only })
 }
 
 fn bind(prepared: &mut rusqlite::Statement<'_>, values: &[Value]) -> Result<(), Rejection> {
     for index in 1..=prepared.parameter_count() {
         let number = number(prepared, index);
         let value = number.checked_sub(1).and_then(|at| values.get(at));
-        let missing = || Rejection::new(State::Protocol, format!("parameter ${number} is missing"));
+        let missing = || {
+            Rejection::new(SqlState::ProtocolViolation, format!("parameter ${number} is missing"))
+        };
         prepared.raw_bind_parameter(index, value.ok_or_else(missing)?)?;
     }
     Ok(())
@@ -111,7 +113,7 @@
 fn columns(prepared: &rusqlite::Statement<'_>) -> Vec<Column> {
     let column = |column: rusqlite::Column<'_>| Column {
         name: column.name().to_owned(),
-        declared: column.decl_type().map(Kind::of_declared),
+        declared: column.decl_type().map(Kind::from_declaration),
     };
     prepared.columns().map(column).collect()
 }
@@ -120,7 +122,7 @@
 ///
 /// # Errors
 /// A rejection where it can't be prepared.
-pub fn reads(connection: &Connection, sql: &str) -> Result<bool, Rejection> {
+pub fn is_read_only(connection: &Connection, sql: &str) -> Result<bool, Rejection> {
     Ok(connection.prepare_cached(sql)?.readonly())
 }
 
--- a/components/standin/src/core.rs
+++ b/components/standin/src/storage.rs
@@ -12,14 +12,14 @@
 use base::prelude::*;
 use rusqlite::Connection;
 
-use crate::failure::{Rejection, State};
-use crate::log::{Entry, Log, Offer, Receipt, Statement};
-use crate::store::{self, Description, Output};
-use crate::transaction::{Done, Transaction};
+use crate::failure::{Rejection, SqlState};
+use crate::log::{Batch, Entry, Log, Receipt, Statement};
+use crate::sqlite::{self, Description, Output};
+use crate::transaction::{Transaction, Write};
 
 /// Log and database of one server.
 #[derive(Debug)]
-pub struct Core {
+pub struct Storage {
     /// The log.
     pub log: Log,
     writer: Connection,
@@ -40,7 +40,7 @@
     pub entries: Vec<Arc<Entry>>,
 }
 
-impl Core {
+impl Storage {
     /// Opens an empty database in a folder.
     ///
     /// # Errors
@@ -48,7 +48,7 @@
     pub fn open(folder: &Path) -> rusqlite::Result<Self> {
         Ok(Self {
             log: Log::new(),
-            writer: store::open(&path(folder, 0))?,
+            writer: sqlite::open(&path(folder, 0))?,
             folder: folder.to_owned(),
             generation: 0,
             rebuilding: false,
@@ -59,10 +59,10 @@
     /// Number and file of the database that readers are to open.
     ///
     /// # Errors
-    /// [`State::Starting`] while it is rebuilt.
+    /// [`SqlState::Starting`] while it is rebuilt.
     pub fn database(&self) -> Result<(u64, PathBuf), Rejection> {
         if self.rebuilding {
-            return Err(Rejection::new(State::Starting, "the database is being rebuilt"));
+            return Err(Rejection::new(SqlState::Starting, "the database is being rebuilt"));
         }
         Ok((self.generation, path(&self.folder, self.generation)))
     }
@@ -71,15 +71,15 @@
     /// both.
     ///
     /// # Errors
-    /// The statement's own, or [`State::ReadOnly`] for a write where the server
+    /// The statement's own, or [`SqlState::ReadOnly`] for a write where the server
     /// is no primary.
-    pub fn trial(
+    pub fn dry_run(
         &mut self,
         transaction: &Transaction,
         statement: &Statement,
     ) -> Result<Output, Rejection> {
         self.check(transaction)?;
-        self.upon(transaction, |writer| store::run(writer, statement))
+        self.upon(transaction, |writer| sqlite::run(writer, statement))
     }
 
     /// Describes a statement upon the earlier writes of its transaction.
@@ -91,7 +91,7 @@
         transaction: &Transaction,
         sql: &str,
     ) -> Result<Description, Rejection> {
-        self.upon(transaction, |writer| store::describe(writer, sql))
+        self.upon(transaction, |writer| sqlite::describe(writer, sql))
     }
 
     fn check(&self, transaction: &Transaction) -> Result<(), Rejection> {
@@ -109,7 +109,7 @@
         ask: impl FnOnce(&Connection) -> Result<T, Rejection>,
     ) -> Result<T, Rejection> {
         self.writer.execute_batch("BEGIN IMMEDIATE")?;
-        let answer = replay(&self.writer, &transaction.done).and_then(|()| ask(&self.writer));
+        let answer = replay(&self.writer, &transaction.writes).and_then(|()| ask(&self.writer));
         self.writer.execute_batch("ROLLBACK")?;
         answer
     }
@@ -117,17 +117,17 @@
     /// Commits a transaction's writes and appends them to the log.
     ///
     /// # Errors
-    /// [`State::ReadOnly`] where the server is not the primary of the term any
-    /// more, [`State::Serialization`] where a write has another result now.
+    /// [`SqlState::ReadOnly`] where the server is not the primary of the term any
+    /// more, [`SqlState::Serialization`] where a write has another result now.
     pub fn commit(&mut self, transaction: Transaction) -> Result<Mark, Rejection> {
         self.check(&transaction)?;
         self.writer.execute_batch("BEGIN IMMEDIATE")?;
-        if let Err(rejection) = replay(&self.writer, &transaction.done) {
+        if let Err(rejection) = replay(&self.writer, &transaction.writes) {
             self.writer.execute_batch("ROLLBACK")?;
             return Err(rejection);
         }
         self.writer.execute_batch("COMMIT")?;
-        let statements = transaction.done.into_iter().map(|done| done.statement).collect();
+        let statements = transaction.writes.into_iter().map(|write| write.statement).collect();
         self.log.append(statements).ok_or_else(Rejection::read_only)
     }
 
@@ -136,7 +136,7 @@
     /// # Errors
     /// A record's own failure.
     pub fn promote(&mut self, term: Term) -> Result<(), Rejection> {
-        if self.rebuilding || !self.log.promotable(term) {
+        if self.rebuilding || !self.log.is_promotable(term) {
             return Ok(());
         }
         self.apply(self.log.last().position)?;
@@ -152,16 +152,16 @@
         now: Instant,
         term: Term,
         primary: SocketAddr,
-        offer: &Offer,
+        batch: &Batch,
     ) -> (Receipt, Option<Rebuild>) {
-        let receipt = self.log.receive(term, primary, offer);
+        let receipt = self.log.receive(term, primary, batch);
         let last = self.log.last().position;
-        if receipt != Receipt::Refused && !offer.entries.is_empty() {
-            self.arrivals.retain(|(position, _)| *position <= offer.agreed);
+        if receipt != Receipt::Refused && !batch.entries.is_empty() {
+            self.arrivals.retain(|(position, _)| *position <= batch.match_position);
             self.arrivals.push_back((last, now));
         }
         let rewound = receipt == Receipt::Rewound;
-        (receipt, rewound.then(|| self.rebuild(offer.agreed)))
+        (receipt, rewound.then(|| self.rebuild(batch.match_position)))
     }
 
     fn rebuild(&mut self, kept: Position) -> Rebuild {
@@ -172,13 +172,13 @@
     }
 
     /// A rebuild that a crash kept from its end, to be done from the start.
-    pub fn unfinished(&mut self) -> Option<Rebuild> {
+    pub fn unfinished_rebuild(&mut self) -> Option<Rebuild> {
         let last = self.log.last().position;
         self.rebuilding.then(|| self.rebuild(last))
     }
 
     /// Takes a database that was rebuilt; one that is out of date is dropped.
-    pub fn rebuilt(&mut self, generation: u64, writer: Connection, position: Position) {
+    pub fn finish_rebuild(&mut self, generation: u64, writer: Connection, position: Position) {
         if generation != self.generation {
             return;
         }
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     /// A record's own failure.
-    pub fn catch_up(&mut self, now: Instant, lag: Duration) -> Result<Option<Instant>, Rejection> {
+    pub fn apply_due(&mut self, now: Instant, lag: Duration) -> Result<Option<Instant>, Rejection> {
         if self.rebuilding {
             return Ok(None);
         }
@@ -212,7 +212,7 @@
     fn apply(&mut self, position: Position) -> Result<(), Rejection> {
         let pending = position.0.saturating_sub(self.log.applied().position.0) as usize;
         let entries = self.log.pending();
-        execute(&self.writer, &entries[..pending.min(entries.len())])?;
+        apply_entries(&self.writer, &entries[..pending.min(entries.len())])?;
         self.log.apply(position);
         Ok(())
     }
@@ -222,11 +222,11 @@
     folder.join(format!("{generation}.sqlite"))
 }
 
-fn replay(writer: &Connection, done: &[Done]) -> Result<(), Rejection> {
-    for done in done {
-        if store::run(writer, &done.statement)? != done.output {
+fn replay(writer: &Connection, writes: &[Write]) -> Result<(), Rejection> {
+    for write in writes {
+        if sqlite::run(writer, &write.statement)? != write.output {
             let message = "could not serialize access due to concurrent update";
-            return Err(Rejection::new(State::Serialization, message));
+            return Err(Rejection::new(SqlState::Serialization, message));
         }
     }
     Ok(())
@@ -236,13 +236,13 @@
 ///
 /// # Errors
 /// A statement's own; then none of the entries has run.
-pub fn execute(writer: &Connection, entries: &[Arc<Entry>]) -> Result<(), Rejection> {
+pub fn apply_entries(writer: &Connection, entries: &[Arc<Entry>]) -> Result<(), Rejection> {
     if entries.is_empty() {
         return Ok(());
     }
     writer.execute_batch("BEGIN IMMEDIATE")?;
     for statement in entries.iter().flat_map(|entry| &entry.statements) {
-        if let Err(rejection) = store::run(writer, statement) {
+        if let Err(rejection) = sqlite::run(writer, statement) {
             writer.execute_batch("ROLLBACK")?;
             return Err(rejection);
         }
--- a/components/standin/src/transaction.rs
+++ b/components/standin/src/transaction.rs
@@ -8,11 +8,11 @@
 use base::prelude::*;
 
 use crate::log::Statement;
-use crate::store::Output;
+use crate::sqlite::Output;
 
 /// A write that was tried.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct Write {
     /// The statement.
     pub statement: Statement,
     /// What the caller was told.
@@ -29,5 +29,5 @@
     /// Term of the primary that it writes on.
     pub term: Option<Term>,
     /// Its writes so far.
-    pub done: Vec<Done>,
+    pub writes: Vec<Write>,
 }
--- a/components/standin/src/value.rs
+++ b/components/standin/src/value.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 
-use crate::failure::{Rejection, State};
+use crate::failure::{Rejection, SqlState};
 
 /// A value as the database holds it.
 pub type Value = rusqlite::types::Value;
@@ -58,13 +58,13 @@
     }
 
     /// The type of an object id; unknown ones are taken as text.
-    pub fn of_oid(oid: u32) -> Self {
+    pub fn from_oid(oid: u32) -> Self {
         use strum::IntoEnumIterator;
         Self::iter().find(|kind| kind.oid() == oid).unwrap_or(Self::Text)
     }
 
     /// The type of a column that was declared so.
-    pub fn of_declared(declared: &str) -> Self {
+    pub fn from_declaration(declared: &str) -> Self {
         let word = declared.to_ascii_lowercase();
         let word = word.split(['(', ' ']).next().unwrap_or_default();
         match word {
@@ -81,7 +81,7 @@
     }
 
     /// The type that a value of no declared column has.
-    pub fn of_value(value: &Value) -> Self {
+    pub fn from_value(value: &Value) -> Self {
         match value {
             Value::Integer(_) => Self::Int8,
             Value::Real(_) => Self::Float8,
@@ -155,7 +155,7 @@
 /// Decodes a parameter.
 ///
 /// # Errors
-/// [`State::Value`] when the bytes are no value of the type.
+/// [`SqlState::InvalidValue`] when the bytes are no value of the type.
 pub fn decode(bytes: Option<&[u8]>, kind: Kind, binary: bool) -> Result<Value, Rejection> {
     let Some(bytes) = bytes else {
         return Ok(Value::Null);
@@ -164,7 +164,7 @@
 }
 
 fn invalid(kind: Kind) -> Rejection {
-    Rejection::new(State::Value, format!("invalid value of type {kind:?}"))
+    Rejection::new(SqlState::InvalidValue, format!("invalid value of type {kind:?}"))
 }
 
 fn decode_text(bytes: &[u8], kind: Kind) -> Result<Value, Rejection> {
@@ -205,7 +205,7 @@
 }
 
 /// The report's columns as a row of values.
-pub fn row_of(status: &Status) -> Vec<Value> {
+pub fn status_row(status: &Status) -> Vec<Value> {
     let number = |number: u64| Value::Integer(number.cast_signed());
     vec![
         Value::Text(status.server.to_string()),
--- a/components/standin/tests/failover.rs
+++ b/components/standin/tests/failover.rs
@@ -105,7 +105,7 @@
         probe(address).await.follow(term, chosen).await.unwrap();
     }
     *world.primary.lock().unwrap() = chosen;
-    world.group.fault(Fault::Heal).await.unwrap();
+    world.group.inject(Fault::Heal).await.unwrap();
     probe(old).await.follow(term, chosen).await.unwrap();
 }
 
@@ -113,7 +113,7 @@
 async fn keeps_what_a_majority_held() {
     let name = Name::new("entries-1").unwrap();
     let lag = Duration::from_millis(10);
-    let settings = Settings { settled: true, lag, connect: lag, ..Settings::new(name) };
+    let settings = Settings { settled: true, lag, connect_time: lag, ..Settings::new(name) };
     let group = Group::start(settings).await.unwrap();
     let primary = group.servers()[0];
     let client = connect(primary).await.unwrap();
@@ -130,7 +130,7 @@
     for round in 0..ROUNDS {
         tokio::time::sleep(Duration::from_millis(rng.random_range(30..150))).await;
         let fault = if rng.random() { Fault::PrimaryCrash } else { Fault::PrimaryPartition };
-        world.group.fault(fault).await.unwrap();
+        world.group.inject(fault).await.unwrap();
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..40))).await;
         fail_over(&world, Term(round + 2)).await;
     }
--- a/components/standin/tests/group.rs
+++ b/components/standin/tests/group.rs
@@ -123,7 +123,7 @@
     client.simple_query("CREATE TABLE tags (id bigint)").await.unwrap();
     client.simple_query("INSERT INTO tags VALUES (1)").await.unwrap();
     until(&group, alike).await;
-    group.fault(Fault::PrimaryPartition).await.unwrap();
+    group.inject(Fault::PrimaryPartition).await.unwrap();
     client.simple_query("INSERT INTO tags VALUES (2)").await.unwrap();
     for server in [new, other] {
         probe(server).await.fence(Term(2)).await.unwrap();
@@ -132,7 +132,7 @@
     assert_eq!((promoted.role, promoted.last()), (Role::Primary, Mark::new(2, 4)));
     probe(other).await.follow(Term(2), new).await.unwrap();
     connect(new).await.simple_query("INSERT INTO tags VALUES (3)").await.unwrap();
-    group.fault(Fault::Heal).await.unwrap();
+    group.inject(Fault::Heal).await.unwrap();
     probe(old).await.follow(Term(2), new).await.unwrap();
     until(&group, alike).await;
     let status = probe(old).await.status(0, Duration::ZERO).await.unwrap();
@@ -148,11 +148,11 @@
     let before = group.servers();
     let client = connect(before[0]).await;
     client.simple_query("CREATE TABLE tags (id bigint)").await.unwrap();
-    group.fault(Fault::PrimaryCrash).await.unwrap();
+    group.inject(Fault::PrimaryCrash).await.unwrap();
     assert!(client.simple_query("SELECT 1").await.is_err());
     let refused = Probe::connect(before[0], PATIENCE).await.unwrap_err();
     assert_eq!(*refused.current_context(), backend::Failure::Refused);
-    group.fault(Fault::Heal).await.unwrap();
+    group.inject(Fault::Heal).await.unwrap();
     assert_eq!(group.servers(), before);
     let status = probe(before[0]).await.status(0, Duration::ZERO).await.unwrap();
     assert_eq!((status.term, status.role, status.received), (Term(1), Role::Replica, Position(2)));
--- a/components/standin/tests/log.rs
+++ b/components/standin/tests/log.rs
@@ -7,7 +7,7 @@
 use arbtest::arbtest;
 use base::prelude::*;
 use standin::Log;
-use standin::log::{Offer, Statement};
+use standin::log::{Batch, Statement};
 
 const SERVERS: usize = 3;
 const STEPS: usize = 120;
@@ -25,7 +25,7 @@
     // statements that each entry was written with
     oracle: BTreeMap<(Term, Position), String>,
     // offers under way: receiver, term, primary
-    offers: Vec<(usize, Term, usize, Offer)>,
+    offers: Vec<(usize, Term, usize, Batch)>,
 }
 
 impl World {
@@ -75,7 +75,7 @@
             return;
         }
         let before = log.last();
-        let ready = log.promotable(term) && log.pending().is_empty();
+        let ready = log.is_promotable(term) && log.pending().is_empty();
         log.promote(term);
         if ready {
             assert_eq!(log.role(), Role::Primary);
@@ -129,7 +129,8 @@
             return;
         };
         let primary = usize::from(followed.port()) - 1;
-        let offer = self.logs[primary].offer(log.term(), log.runs(), log.last().position);
+        let offer =
+            self.logs[primary].next_batch(log.term(), log.term_starts(), log.last().position);
         if let Some(offer) = offer {
             self.offers.push((server, log.term(), primary, offer));
         }
@@ -168,7 +169,7 @@
                 index.checked_sub(1).is_none_or(|before| log.entries()[before].term < entry.term)
             });
             let starts = firsts.map(|(index, entry)| Mark::new(entry.term.0, index as u64));
-            assert_eq!(log.runs(), starts.collect::<Vec<_>>());
+            assert_eq!(log.term_starts(), starts.collect::<Vec<_>>());
             let history = log.history();
             for (index, entry) in log.entries().iter().enumerate() {
                 let mark = Mark { term: entry.term, position: Position(index as u64 + 1) };
