--- a/components/standin/src/announce.rs
+++ b/components/standin/src/announce.rs
@@ -1,4 +1,4 @@
-//! How a server makes itself known to control.
+//! Periodic announcements of a server to the control members, over HTTP.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 
 use crate::server::Server;
 
-/// Time between two announcements.
+/// Time from the start of one announcement to the start of the next.
 pub const INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time that one announcement may take.
+/// Timeout of the HTTP request to one control member.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Serialize)]
@@ -46,7 +46,8 @@
     }
 }
 
-/// Announces the server to one member after another, until it is dropped.
+/// Announces the server at each [`INTERVAL`] until the task is cancelled; returns
+/// at once if no control members are configured.
 pub async fn run(server: Arc<Server>) {
     let controls = &server.settings.controls;
     if controls.is_empty() {
@@ -57,21 +58,22 @@
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
     loop {
         let started = tokio::time::Instant::now();
-        announce(&server, &client, controls, &mut rng).await;
+        announce_once(&server, &client, controls, &mut rng).await;
         tokio::time::sleep_until(started + INTERVAL).await;
     }
 }
 
-// a member that does not answer is passed over for the next one
-async fn announce(
+// tries the control members from a random one onwards until one accepts, so that
+// announcements are spread over the members and survive the loss of some
+async fn announce_once(
     server: &Server,
     client: &reqwest::Client,
     controls: &[SocketAddr],
     rng: &mut impl Rng,
 ) {
     let first = rng.random_range(0..controls.len());
-    for turn in 0..controls.len() {
-        let control = controls[(first + turn) % controls.len()];
+    for offset in 0..controls.len() {
+        let control = controls[(first + offset) % controls.len()];
         let url = format!("http://{control}/v1/announce");
         let sent =
             client.post(url).timeout(REQUEST_TIMEOUT).json(&Announcement::new(server)).send().await;
--- a/components/standin/src/answer.rs
+++ b/components/standin/src/answer.rs
@@ -1,4 +1,4 @@
-//! Server messages, written into a buffer.
+//! Encoding of PostgreSQL backend messages into a buffer.
 
 use bytes::{BufMut, BytesMut};
 use pgwire::messages::PgWireBackendMessage as Message;
@@ -11,25 +11,26 @@
 use crate::failure::Rejection;
 use crate::value::{self, Kind, Value};
 
-const VARIABLE_MODIFIER: i32 = -1;
+const NO_TYPE_MODIFIER: i32 = -1;
 
-/// Severity of an error message.
+/// Severity field of an `ErrorResponse`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "UPPERCASE")]
 pub enum Severity {
-    /// The statement failed.
+    /// The statement failed; the session continues.
     Error,
-    /// The connection ends.
+    /// The session ends, and the server closes the connection.
     Fatal,
 }
 
-/// Appends a message.
+/// Appends an encoded message.
 pub fn put(buffer: &mut BytesMut, message: &Message) {
-    // an answer longer than the protocol allows ends the connection by its cut
+    // encoding fails only for a message longer than the protocol allows; the
+    // truncated message then breaks the connection
     drop(message.encode(buffer));
 }
 
-/// Appends an error.
+/// Appends an `ErrorResponse`.
 pub fn put_error(buffer: &mut BytesMut, severity: Severity, rejection: &Rejection) {
     let fields = vec![
         (b'S', severity.to_string()),
@@ -40,18 +41,18 @@
     put(buffer, &Message::ErrorResponse(ErrorResponse::new(fields)));
 }
 
-/// Appends the columns of a result.
+/// Appends the `RowDescription` of a result.
 pub fn put_row_description(buffer: &mut BytesMut, columns: &[(String, Kind)], formats: &[i16]) {
     let field = |(index, (name, kind)): (usize, &(String, Kind))| {
         let format = i16::from(is_binary(formats, index));
         let (oid, size) = (kind.oid(), kind.size());
-        FieldDescription::new(name.clone(), 0, 0, oid, size, VARIABLE_MODIFIER, format)
+        FieldDescription::new(name.clone(), 0, 0, oid, size, NO_TYPE_MODIFIER, format)
     };
     let fields = columns.iter().enumerate().map(field).collect();
     put(buffer, &Message::RowDescription(RowDescription::new(fields)));
 }
 
-/// Appends one row.
+/// Appends a `DataRow`.
 pub fn put_data_row(buffer: &mut BytesMut, row: &[Value], kinds: &[Kind], formats: &[i16]) {
     let mut data = BytesMut::new();
     for (index, (value, kind)) in row.iter().zip(kinds).enumerate() {
@@ -67,7 +68,8 @@
     put(buffer, &Message::DataRow(DataRow::new(data, count)));
 }
 
-/// Whether a column or parameter is binary: one format counts for all.
+/// Whether a column or parameter is in binary format. No format code means that
+/// all are text, a single code applies to all.
 pub fn is_binary(formats: &[i16], index: usize) -> bool {
     match formats {
         [] => false,
@@ -76,17 +78,17 @@
     }
 }
 
-/// Appends the tag of a statement that completed.
+/// Appends a `CommandComplete` with a command tag.
 pub fn put_command_complete(buffer: &mut BytesMut, tag: &str) {
     put(buffer, &Message::CommandComplete(CommandComplete::new(tag.to_owned())));
 }
 
-/// Appends the end of a cycle.
+/// Appends a `ReadyForQuery`, which ends a query cycle.
 pub fn put_ready_for_query(buffer: &mut BytesMut, status: TransactionStatus) {
     put(buffer, &Message::ReadyForQuery(ReadyForQuery::new(status)));
 }
 
-/// Appends a parameter.
+/// Appends a `ParameterStatus`.
 pub fn put_parameter_status(buffer: &mut BytesMut, name: &str, value: &str) {
     let status = ParameterStatus::new(name.to_owned(), value.to_owned());
     put(buffer, &Message::ParameterStatus(status));
--- a/components/standin/src/counters.rs
+++ b/components/standin/src/counters.rs
@@ -1,8 +1,8 @@
-//! What a server counts, for the check of a bench.
+//! Counters of a server, from which a benchmark checks limits and routing.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters of one server, over all its starts.
+/// Counters of one server, which are kept over its restarts.
 #[derive(Debug, Default)]
 pub struct Counters {
     connections: Gauge,
@@ -14,32 +14,34 @@
     commits: AtomicU64,
 }
 
-/// Counters as they stood at one moment.
+/// Values of a server's counters at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
-    /// Most data connections at once.
+    /// Highest number of concurrent data connections.
     pub peak_connections: u64,
-    /// Most statements at once, running or queued in the server.
+    /// Highest number of concurrent statements, running or queued in the server.
     pub peak_statements: u64,
-    /// Connections refused for want of a free one.
+    /// Data connections refused because the connection limit was reached.
     pub refused: u64,
-    /// Statements that found all slots taken.
+    /// Statements that had to wait because all slots were taken.
     pub queued: u64,
-    /// Statements outside of the system's own that read, as primary.
+    /// Reads outside of transactions that the server ran as primary, without those
+    /// of probe sessions.
     pub reads_primary: u64,
-    /// Statements outside of the system's own that read, as replica.
+    /// Reads outside of transactions that the server ran as replica, without those
+    /// of probe sessions.
     pub reads_replica: u64,
-    /// Transactions that committed a write.
+    /// Committed transactions that had written.
     pub commits: u64,
 }
 
 #[derive(Debug, Default)]
 struct Gauge {
-    now: AtomicU64,
+    current: AtomicU64,
     peak: AtomicU64,
 }
 
-/// One of what a gauge counts, until it is dropped.
+/// Guard that decrements its gauge when dropped.
 #[derive(Debug)]
 pub struct Guard<'a>(&'a AtomicU64);
 
@@ -50,50 +52,51 @@
 }
 
 impl Gauge {
-    fn hold(&self) -> Guard<'_> {
-        let now = self.now.fetch_add(1, Ordering::AcqRel) + 1;
+    fn increment(&self) -> Guard<'_> {
+        let now = self.current.fetch_add(1, Ordering::AcqRel) + 1;
         self.peak.fetch_max(now, Ordering::AcqRel);
-        Guard(&self.now)
+        Guard(&self.current)
     }
 
-    fn hold_below(&self, limit: u64) -> Option<Guard<'_>> {
-        let raised = self.now.fetch_update(Ordering::AcqRel, Ordering::Acquire, |now| {
+    fn increment_below(&self, limit: u64) -> Option<Guard<'_>> {
+        let raised = self.current.fetch_update(Ordering::AcqRel, Ordering::Acquire, |now| {
             (now < limit).then_some(now + 1)
         });
         let now = raised.ok()? + 1;
         self.peak.fetch_max(now, Ordering::AcqRel);
-        Some(Guard(&self.now))
+        Some(Guard(&self.current))
     }
 }
 
 impl Counters {
-    /// Takes one of `limit` connections.
+    /// Counts a data connection unless `limit` are open; a refusal is counted too.
     pub fn acquire_connection(&self, limit: usize) -> Option<Guard<'_>> {
-        let held = self.connections.hold_below(limit as u64);
-        if held.is_none() {
+        let guard = self.connections.increment_below(limit as u64);
+        if guard.is_none() {
             self.refused.fetch_add(1, Ordering::Relaxed);
         }
-        held
+        guard
     }
 
-    /// Counts a statement that runs or waits; `queued` where no slot was free.
+    /// Counts a statement as running or waiting until the guard is dropped; `queued`
+    /// says that no slot was free.
     pub fn start_statement(&self, queued: bool) -> Guard<'_> {
         self.queued.fetch_add(u64::from(queued), Ordering::Relaxed);
-        self.statements.hold()
+        self.statements.increment()
     }
 
-    /// Counts a read.
+    /// Counts a read, by whether the server is the primary.
     pub fn record_read(&self, primary: bool) {
         let counter = if primary { &self.reads_primary } else { &self.reads_replica };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a commit.
+    /// Counts a committed transaction that had written.
     pub fn record_commit(&self) {
         self.commits.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// All counters.
+    /// Present values of all counters.
     pub fn counts(&self) -> Counts {
         let load = |counter: &AtomicU64| counter.load(Ordering::Acquire);
         Counts {
--- a/components/standin/src/failure.rs
+++ b/components/standin/src/failure.rs
@@ -1,75 +1,76 @@
-//! What a server answers instead of a result, and why a group fails to start.
+//! Errors of statements, with their SQLSTATE, and failures of a group.
 
 use std::fmt;
 
-/// A failure of the group as a whole.
+/// Why a group could not start or a fault could not be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// A server's name would not be valid.
+    /// The name of a server, made from the group's name and a number, is invalid.
     Name,
-    /// No listener on loopback could be opened.
+    /// A server could not listen on the loopback address.
     Listen,
-    /// The folder of the databases could not be made.
+    /// The folder of the databases could not be created.
     Folder,
-    /// A database could not be opened.
+    /// An SQLite database could not be opened.
     Database,
-    /// No server of the group is in the state that the fault needs.
+    /// The group has no primary, or no server of the number that the fault names.
     Fault,
 }
 
 impl std::error::Error for Failure {}
 
-/// SQLSTATE classes that a server answers with.
+/// SQLSTATE error conditions that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SqlState {
-    /// A unique key is taken.
+    /// A row with the same unique key exists.
     UniqueViolation,
-    /// A column may not be null.
+    /// A value of a `NOT NULL` column is null.
     NotNullViolation,
-    /// A foreign key is missing.
+    /// A foreign key refers to no row.
     ForeignKeyViolation,
-    /// A check failed.
+    /// A `CHECK` constraint is violated.
     CheckViolation,
-    /// No such table.
+    /// The table does not exist.
     UndefinedTable,
-    /// The table exists.
+    /// The table exists already.
     DuplicateTable,
-    /// No such column.
+    /// The column does not exist.
     UndefinedColumn,
-    /// No such function.
+    /// The function does not exist.
     UndefinedFunction,
-    /// The statement can't be read.
+    /// The statement could not be parsed or prepared.
     Syntax,
-    /// The server takes no writes.
+    /// The server accepts no writes, since it is not the primary.
     ReadOnly,
-    /// The transaction has failed; only its end is accepted.
+    /// The transaction has failed; only its end or a rollback to a savepoint is
+    /// accepted.
     FailedTransaction,
-    /// The transaction's results do not hold any more.
+    /// Concurrent commits changed a result that the transaction has returned.
     Serialization,
-    /// No connection is free.
+    /// The connection limit is reached.
     TooManyConnections,
-    /// The statement was cancelled.
+    /// A cancel request stopped the statement.
     Cancelled,
-    /// The server does not offer this.
+    /// The server does not support the statement or message.
     Unsupported,
-    /// No such prepared statement.
+    /// The prepared statement does not exist.
     UndefinedStatement,
-    /// No such portal.
+    /// The portal does not exist.
     UndefinedPortal,
-    /// A value can't be read.
+    /// A parameter value is invalid for its type.
     InvalidValue,
-    /// The messages break the protocol.
+    /// A message violates the protocol.
     ProtocolViolation,
-    /// The database is being rebuilt.
+    /// The database is being rebuilt and can't be read yet.
     Starting,
     /// The server is shutting down or restarting.
     Shutdown,
-    /// Anything else.
+    /// Any other error.
     Internal,
 }
 
 impl SqlState {
-    /// The five characters.
+    /// Five-character SQLSTATE code.
     pub const fn code(self) -> &'static str {
         match self {
             Self::UniqueViolation => "23505",
@@ -98,22 +99,22 @@
     }
 }
 
-/// An error that a statement is answered with.
+/// An error that is reported to the client in an `ErrorResponse`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
-    /// Its SQLSTATE.
+    /// SQLSTATE of the error.
     pub state: SqlState,
-    /// Its message.
+    /// Message text of the error.
     pub message: String,
 }
 
 impl Rejection {
-    /// Makes a rejection.
+    /// Creates an error from its SQLSTATE and message.
     pub fn new(state: SqlState, message: impl Into<String>) -> Self {
         Self { state, message: message.into() }
     }
 
-    /// The rejection of a write by a server that takes none.
+    /// The error of a write on a server that is not the primary.
     pub fn read_only() -> Self {
         Self::new(SqlState::ReadOnly, "cannot execute a write on a read-only server")
     }
@@ -130,11 +131,11 @@
 impl From<rusqlite::Error> for Rejection {
     fn from(error: rusqlite::Error) -> Self {
         let message = error.to_string();
-        Self::new(state(&error, &message), message)
+        Self::new(sql_state(&error, &message), message)
     }
 }
 
-fn state(error: &rusqlite::Error, message: &str) -> SqlState {
+fn sql_state(error: &rusqlite::Error, message: &str) -> SqlState {
     use rusqlite::ffi;
     let extended = error.sqlite_error().map_or(0, |error| error.extended_code);
     match extended {
--- a/components/standin/src/fault.rs
+++ b/components/standin/src/fault.rs
@@ -1,30 +1,32 @@
-//! Faults that can be put on a group.
+//! Faults that can be injected into a group.
 
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A fault, or the end of all faults.
+/// A fault, or the removal of all faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The primary's process ends: its listener closes, connections break.
+    /// The primary crashes: its listener closes and its connections are reset.
     PrimaryCrash,
-    /// The primary loses its replicas; callers and probes still reach it.
+    /// The primary is partitioned from its replicas; callers and probes still reach
+    /// it.
     PrimaryPartition,
-    /// Replicas show records this much later.
+    /// Servers apply the log entries that they receive after this delay.
     ReplicaLag(Duration),
-    /// Crashed servers start again, links and lag are as at the start.
+    /// Crashed servers restart; partitions, slowdowns and announced departures end,
+    /// and the lag is that of the settings.
     Heal,
-    /// A server announces that it leaves.
+    /// The server of this number announces that it leaves.
     Leave(usize),
-    /// A server's statements take this many times as long.
+    /// Statements of the server of this number take this many times as long.
     Slow(usize, u32),
 }
 
-/// A text that names no fault.
+/// Error for a text that names no fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unknown {
-    /// The text as it was found.
+    /// The text that was parsed.
     pub text: String,
 }
 
--- a/components/standin/src/function.rs
+++ b/components/standin/src/function.rs
@@ -1,4 +1,4 @@
-//! The functions that a group offers to the system.
+//! Parsing of the SQL functions by which the system operates a server.
 
 use std::net::SocketAddr;
 
@@ -6,32 +6,33 @@
 
 use crate::sql;
 
-/// A call of one of the functions.
+/// A call of one of the `trefoil_` functions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Function {
-    /// Reports once the version differs from `after`, or after `wait`.
+    /// Reports the server's status once the log's version differs from `after`, or
+    /// after `wait`.
     Status {
-        /// The version that is known.
+        /// Version of the log that the client knows.
         after: u64,
-        /// Longest wait.
+        /// Longest time to wait for another version.
         wait: Duration,
     },
-    /// Fences the server at a term.
+    /// Fences the server at a term: no commit of a lower term follows.
     Fence(Term),
-    /// Promotes the server in a term.
+    /// Promotes the server to the primary of a term.
     Promote(Term),
-    /// Follows a primary.
+    /// Makes the server replicate from a primary.
     Follow {
         /// Term of the primary.
         term: Term,
-        /// Its address.
+        /// Address of the primary.
         primary: SocketAddr,
     },
-    /// Tells term and position of the last record that reads see.
+    /// Returns term and position of the last applied log entry.
     Mark,
 }
 
-/// Reads `SELECT * FROM trefoil_NAME(ARGUMENTS)`; `None` for all else.
+/// Parses `SELECT * FROM trefoil_NAME(ARGUMENTS)`; `None` for any other statement.
 pub fn parse(text: &str) -> Option<Function> {
     let lower =
         sql::strip_leading_comments(text).trim_end_matches([';', ' ', '\n']).to_ascii_lowercase();
--- a/components/standin/src/group.rs
+++ b/components/standin/src/group.rs
@@ -1,4 +1,4 @@
-//! The servers of a group, and the faults put on them.
+//! The servers of a group, and the faults injected into them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 
 const FIRST_TERM: Term = Term(1);
 
-/// A database group in this process.
+/// A database group whose servers run in this process.
 #[derive(Debug)]
 pub struct Group {
     settings: Arc<Settings>,
     servers: Vec<Arc<Server>>,
-    // removed when the group is dropped
+    // the drop of the group removes the folder of the databases
     _folder: tempfile::TempDir,
 }
 
@@ -40,12 +40,12 @@
         }
         let group = Self { settings, servers, _folder: folder };
         if group.settings.settled {
-            group.settle();
+            group.promote_first();
         }
         Ok(group)
     }
 
-    fn settle(&self) {
+    fn promote_first(&self) {
         let Some((first, others)) = self.servers.split_first() else {
             return;
         };
@@ -63,22 +63,22 @@
         &self.settings.name
     }
 
-    /// Addresses of all servers, in their order.
+    /// Addresses of all servers, by number.
     pub fn servers(&self) -> Vec<SocketAddr> {
         self.servers.iter().map(|server| server.address()).collect()
     }
 
-    /// What each server says of itself; crashed ones too.
+    /// Status of each server, also of crashed ones.
     pub fn statuses(&self) -> Vec<Status> {
         self.servers.iter().map(|server| server.status()).collect()
     }
 
-    /// What each server has counted.
+    /// Counters of each server.
     pub fn counts(&self) -> Vec<Counts> {
         self.servers.iter().map(|server| server.counters.counts()).collect()
     }
 
-    /// Number of the running primary of the highest term.
+    /// Number of the running primary with the highest term.
     pub fn primary(&self) -> Option<usize> {
         let running = |index: &usize| self.servers[*index].is_running();
         let statuses = self.statuses();
@@ -86,13 +86,16 @@
         primaries.filter(running).max_by_key(|index| statuses[*index].term)
     }
 
-    /// Puts a fault on the group, or ends all.
+    /// Injects a fault into the group, or removes all faults.
     ///
     /// # Errors
-    /// [`Failure::Fault`] where there is no primary or no such server,
-    /// [`Failure::Listen`] when a server can't start again.
+    /// [`Failure::Fault`] if there is no primary or no server of that number,
+    /// [`Failure::Listen`] if a server can't restart.
     pub async fn inject(&self, fault: Fault) -> Result<(), Report<Failure>> {
-        info!(self.settings.log, "fault"; "group" => %self.settings.name, "fault" => ?fault);
+        info!(
+            self.settings.log, "injecting a fault";
+            "group" => %self.settings.name, "fault" => ?fault
+        );
         let primary = || self.primary().ok_or_else(|| Report::new(Failure::Fault));
         let server = |index: usize| self.servers.get(index).ok_or(Failure::Fault);
         match fault {
@@ -117,7 +120,7 @@
         Ok(())
     }
 
-    /// Ends all servers.
+    /// Stops all servers; open connections are reset.
     pub async fn stop(self) {
         for server in &self.servers {
             server.crash().await;
--- a/components/standin/src/infer.rs
+++ b/components/standin/src/infer.rs
@@ -1,8 +1,8 @@
-//! The types of parameters that a caller leaves open.
+//! Inference of the types of parameters that a client leaves unspecified.
 //!
-//! SQLite has none for them. A parameter takes the type of the column that it
-//! is compared with, computed with or inserted into, as far as the words
-//! around it tell; else it is text.
+//! SQLite does not type parameters. A parameter takes the type of the column that
+//! it is compared with, computed with or inserted into, if that can be derived
+//! from the adjacent tokens; otherwise it is text.
 
 use std::collections::HashMap;
 
@@ -13,30 +13,31 @@
 const COLUMNS: &str = "SELECT p.name, p.type FROM sqlite_master AS m, pragma_table_info(m.name) \
                        AS p WHERE m.type = 'table'";
 
-/// Types of the first `count` parameters.
+/// Infers the types of the first `count` parameters.
 pub fn parameters(connection: &Connection, sql: &str, count: usize) -> Vec<Kind> {
     let mut kinds = vec![Kind::Text; count];
     if count == 0 {
         return kinds;
     }
-    let columns = columns(connection).unwrap_or_default();
-    let tokens = tokens(sql);
-    let inserted = inserted(&tokens);
+    let columns = column_kinds(connection).unwrap_or_default();
+    let tokens = tokenize(sql);
+    let inserted = insert_columns(&tokens);
     for (at, token) in tokens.iter().enumerate() {
-        let Some(slot) = number(token).and_then(|number| kinds.get_mut(number - 1)) else {
+        let Some(kind) = parameter_number(token).and_then(|number| kinds.get_mut(number - 1))
+        else {
             continue;
         };
-        let column = neighbour(&tokens, at).or_else(|| inserted.get(&at).cloned());
+        let column = adjacent_column(&tokens, at).or_else(|| inserted.get(&at).cloned());
         match column.as_deref() {
-            Some("limit" | "offset") => *slot = Kind::Int8,
-            Some(name) => *slot = columns.get(name).copied().unwrap_or(*slot),
+            Some("limit" | "offset") => *kind = Kind::Int8,
+            Some(name) => *kind = columns.get(name).copied().unwrap_or(*kind),
             None => {}
         }
     }
     kinds
 }
 
-fn columns(connection: &Connection) -> rusqlite::Result<HashMap<String, Kind>> {
+fn column_kinds(connection: &Connection) -> rusqlite::Result<HashMap<String, Kind>> {
     let mut prepared = connection.prepare_cached(COLUMNS)?;
     let rows = prepared.query_map([], |row| {
         let (name, declared): (String, String) = (row.get(0)?, row.get(1)?);
@@ -45,7 +46,7 @@
     rows.collect()
 }
 
-fn number(token: &str) -> Option<usize> {
+fn parameter_number(token: &str) -> Option<usize> {
     token.strip_prefix('$')?.parse().ok().filter(|number| *number > 0)
 }
 
@@ -53,8 +54,9 @@
     token.chars().all(|character| "=<>!+-*/".contains(character))
 }
 
-// the column on the other side of an operator, or the word of a limit
-fn neighbour(tokens: &[String], at: usize) -> Option<String> {
+// the column on the other side of an operator, or `limit` or `offset` before the
+// token
+fn adjacent_column(tokens: &[String], at: usize) -> Option<String> {
     let before = at.checked_sub(1).map(|at| tokens[at].as_str());
     if let Some(word @ ("limit" | "offset")) = before {
         return Some(word.to_owned());
@@ -66,17 +68,17 @@
     after.then(|| tokens.get(at + 2).cloned()).flatten()
 }
 
-// columns of the values of an INSERT, by the place of the value's token
-fn inserted(tokens: &[String]) -> HashMap<usize, String> {
-    let mut places = HashMap::new();
+// columns that an INSERT assigns its values to, by the index of the value's token
+fn insert_columns(tokens: &[String]) -> HashMap<usize, String> {
+    let mut columns = HashMap::new();
     let Some(open) = tokens.iter().position(|token| token == "(") else {
-        return places;
+        return columns;
     };
     if tokens.first().is_none_or(|token| token != "insert") {
-        return places;
+        return columns;
     }
     let Some(values) = tokens.iter().position(|token| token == "values") else {
-        return places;
+        return columns;
     };
     let list = tokens[open..values.max(open)].iter();
     let names: Vec<_> = list.filter(|token| !["(", ",", ")"].contains(&token.as_str())).collect();
@@ -87,15 +89,15 @@
             "," => column += 1,
             _ => {
                 if let Some(name) = names.get(column) {
-                    places.insert(at, (*name).clone());
+                    columns.insert(at, (*name).clone());
                 }
             }
         }
     }
-    places
+    columns
 }
 
-fn tokens(sql: &str) -> Vec<String> {
+fn tokenize(sql: &str) -> Vec<String> {
     let mut tokens = Vec::new();
     let mut word = String::new();
     let mut operator = String::new();
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,18 +1,18 @@
-//! A stand-in of a database group, for tests and benches.
+//! Stand-in for a database group, for tests and benchmarks.
 //!
-//! All servers of a group run in this process and listen on loopback. They
-//! speak the PostgreSQL protocol over an embedded SQLite database each, copy
-//! their primary's log asynchronously, and offer the functions that a group
-//! must: status, fence, promote, follow and mark.
+//! All servers of a group run in this process and listen on loopback. Each
+//! serves the PostgreSQL protocol from an embedded SQLite database, replicates
+//! its primary's log asynchronously, and has the SQL functions that a group must
+//! provide: status, fence, promote, follow and mark.
 //!
-//! - [`log`]: the replication log and its terms, a plain state machine.
-//! - [`sqlite`]: the SQLite database of one server.
-//! - [`storage`]: log and database of one server under one lock.
-//! - [`server`]: one server: listener, limits and faults.
-//! - [`session`]: one caller's connection.
-//! - [`replication`]: replication, from the replica's side.
-//! - [`announce`]: how a server makes itself known to control.
-//! - [`group`]: the servers of a group, and the faults put on them.
+//! - [`log`]: the replication log and its terms, a state machine without I/O.
+//! - [`sqlite`]: the SQLite database of a server.
+//! - [`storage`]: log and database of a server under one lock.
+//! - [`server`]: listener, limits and faults of a server.
+//! - [`session`]: a client's connection.
+//! - [`replication`]: the replica's side of replication.
+//! - [`announce`]: announcements of a server to the control members.
+//! - [`group`]: the servers of a group, and the faults injected into them.
 
 pub mod announce;
 pub mod answer;
--- a/components/standin/src/log.rs
+++ b/components/standin/src/log.rs
@@ -1,9 +1,9 @@
-//! The replication log of one server, and the terms that rule it.
+//! Replication log of a server, with its term and role.
 //!
-//! Each promotion appends an entry that starts its term, so two logs that hold
-//! an entry of the same term at the same position are alike up to there. The
-//! host executes entries and carries them between servers; nothing here knows
-//! of sockets or of SQLite.
+//! Each promotion appends an entry that starts its term, so two logs that hold an
+//! entry of the same term at the same position are identical up to that position.
+//! This module does no I/O: the host applies entries to SQLite and transfers them
+//! between servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,55 +12,56 @@
 
 use crate::value::Value;
 
-/// Entries that one offer carries at most.
+/// Largest number of entries in a batch.
 pub const MAX_BATCH_ENTRIES: usize = 1_024;
 
-/// One statement of a transaction that committed.
+/// A statement of a committed transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    /// Its text.
+    /// SQL text.
     pub sql: String,
-    /// Values of `$1`, `$2` and so on.
+    /// Values of the parameters `$1`, `$2` and so on.
     pub values: Vec<Value>,
 }
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Term in which it was written.
+    /// Term in which the entry was written.
     pub term: Term,
-    /// Statements of one transaction; none where a term starts.
+    /// Statements of one transaction; empty in the entry that starts a term.
     pub statements: Vec<Statement>,
 }
 
-/// What a primary offers to a replica.
+/// Entries that a primary sends to a replica, as Raft's `AppendEntries` does.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// Last position up to which both logs are alike.
+    /// Last position up to which the two logs match.
     pub match_position: Position,
-    /// Entries that follow it, in order.
+    /// Entries that follow `match_position`, in order.
     pub entries: Vec<Arc<Entry>>,
 }
 
-/// What became of an offer.
+/// How a replica handled a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// The server has gone on to another term or primary.
+    /// The batch was ignored: the server follows another term or primary, or lacks
+    /// entries before the batch.
     Refused,
-    /// The log now ends with the offer's last entry.
+    /// The log now holds all entries of the batch.
     Appended,
-    /// As [`Receipt::Appended`], and entries that were applied have been cut off.
+    /// As [`Receipt::Appended`], and entries that had been applied were truncated.
     Rewound,
 }
 
-/// The log, term and role of one server.
+/// Log, term and role of a server.
 #[derive(Clone, Debug)]
 pub struct Log {
     term: Term,
     role: Role,
     following: Option<SocketAddr>,
     entries: Vec<Arc<Entry>>,
-    // where each term of the log begins, as in a history, but never trimmed
+    // the terms in the log and where they begin, as in a history, but never trimmed
     term_starts: Vec<Mark>,
     applied: Position,
     version: u64,
@@ -81,50 +82,50 @@
 }
 
 impl Log {
-    /// Makes the empty log of a replica that has joined no term.
+    /// Creates the empty log of a replica that has joined no term.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Highest term joined.
+    /// Highest term that the server has joined.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Part played at present.
+    /// Present role of the server.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The primary that is copied, if one is.
+    /// Address of the primary that the server replicates from.
     pub fn following(&self) -> Option<SocketAddr> {
         self.following
     }
 
-    /// Last record.
+    /// Term and position of the last entry.
     pub fn last(&self) -> Mark {
         let term = self.entries.last().map_or(Term(0), |entry| entry.term);
         Mark { term, position: Position(self.entries.len() as u64) }
     }
 
-    /// Last record that reads see.
+    /// Term and position of the last applied entry, the last that reads see.
     pub fn applied(&self) -> Mark {
         let index = (self.applied.0 as usize).checked_sub(1);
         let term = index.map_or(Term(0), |index| self.entries[index].term);
         Mark { term, position: self.applied }
     }
 
-    /// Raised by each change.
+    /// Version of the log, incremented by each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Where each term of the log begins.
+    /// Terms in the log, each with the position after which its entries begin.
     pub fn term_starts(&self) -> &[Mark] {
         &self.term_starts
     }
 
-    /// The same, in the form of a report.
+    /// Terms of the log as the history of a status report.
     pub fn history(&self) -> History {
         let mut history = History::default();
         for start in &self.term_starts {
@@ -133,17 +134,18 @@
         history
     }
 
-    /// All entries.
+    /// All entries, oldest first.
     pub fn entries(&self) -> &[Arc<Entry>] {
         &self.entries
     }
 
-    /// Entries that reads do not see yet, oldest first.
+    /// Entries that are not applied yet, oldest first; reads do not see them.
     pub fn pending(&self) -> &[Arc<Entry>] {
         &self.entries[self.applied.0 as usize..]
     }
 
-    /// Joins `term` without a primary; a term joined already changes nothing.
+    /// Joins a higher term as a replica that follows no primary; does nothing at a
+    /// term that is not higher than the server's.
     pub fn fence(&mut self, term: Term) {
         if term <= self.term {
             return;
@@ -154,8 +156,8 @@
         self.version += 1;
     }
 
-    /// Whether [`Log::promote`] at `term` would make this server the primary
-    /// once nothing is pending.
+    /// Whether [`Log::promote`] at `term` would make this server the primary once no
+    /// entry is pending.
     pub fn is_promotable(&self, term: Term) -> bool {
         term == self.term
             && term > self.last().term
@@ -163,8 +165,9 @@
             && self.following.is_none()
     }
 
-    /// Makes a server fenced at exactly `term` its primary and starts the term
-    /// with an entry; changes nothing elsewhere, or while entries are pending.
+    /// Makes a server that is fenced at exactly `term` the primary, and appends the
+    /// entry that starts the term. Does nothing in any other state, or while entries
+    /// are pending.
     pub fn promote(&mut self, term: Term) {
         if !self.is_promotable(term) || !self.pending().is_empty() {
             return;
@@ -175,12 +178,12 @@
         self.version += 1;
     }
 
-    /// Copies from the primary of `term` from now on; changes nothing at a
-    /// higher term, or at the primary of that term.
+    /// Makes the server replicate from the primary of `term`; does nothing if the
+    /// server is at a higher term or is itself the primary of `term`.
     pub fn follow(&mut self, term: Term, primary: SocketAddr) {
-        let leads = term == self.term && self.role == Role::Primary;
-        let same = term == self.term && self.following == Some(primary);
-        if term < self.term || leads || same {
+        let is_primary = term == self.term && self.role == Role::Primary;
+        let is_followed = term == self.term && self.following == Some(primary);
+        if term < self.term || is_primary || is_followed {
             return;
         }
         self.term = term;
@@ -189,15 +192,15 @@
         self.version += 1;
     }
 
-    /// Follows nobody any more, as after a restart; a primary becomes a
-    /// replica of the term it knows.
+    /// Resets the role as a process restart does: the server is a replica that
+    /// follows no primary, and keeps its term.
     pub fn restart(&mut self) {
         self.role = Role::Replica;
         self.following = None;
         self.version += 1;
     }
 
-    /// Appends a transaction that is applied already; `None` on a replica.
+    /// Appends a transaction that has been applied; `None` on a replica.
     pub fn append(&mut self, statements: Vec<Statement>) -> Option<Mark> {
         if self.role != Role::Primary {
             return None;
@@ -208,9 +211,9 @@
         Some(self.last())
     }
 
-    /// What the primary of `term` sends to a replica whose log begins its
-    /// terms at `runs` and ends at `last`; `None` where this server is no
-    /// such primary.
+    /// Next entries that the primary of `term` sends to a replica whose log has the
+    /// terms `term_starts` and ends at `last`; `None` if this server is not the
+    /// primary of `term`.
     pub fn next_batch(&self, term: Term, term_starts: &[Mark], last: Position) -> Option<Batch> {
         if self.role != Role::Primary || self.term != term {
             return None;
@@ -221,20 +224,21 @@
         Some(Batch { match_position, entries: self.entries[from..until].to_vec() })
     }
 
-    /// Takes an offer of the primary of `term` at `primary`.
+    /// Appends a batch from the primary of `term` at address `primary`, after the
+    /// entries that differ from it have been truncated.
     pub fn receive(&mut self, term: Term, primary: SocketAddr, batch: &Batch) -> Receipt {
         let follows = self.term == term && self.following == Some(primary);
         if !follows || batch.match_position > self.last().position {
             return Receipt::Refused;
         }
         let before = self.last();
-        // a log that has reached the term is a part of its primary's, so an
-        // offer that comes late has nothing to cut
+        // a log that ends in this term is a prefix of the primary's log, so a
+        // delayed batch must not truncate entries appended since
         let kept = if before.term == term { before.position } else { batch.match_position };
         let rewound = kept < self.applied;
         self.truncate(kept);
-        let held = (kept.0 - batch.match_position.0) as usize;
-        for entry in batch.entries.iter().skip(held) {
+        let known = (kept.0 - batch.match_position.0) as usize;
+        for entry in batch.entries.iter().skip(known) {
             self.push(Arc::clone(entry));
         }
         if rewound {
@@ -246,7 +250,7 @@
         if rewound { Receipt::Rewound } else { Receipt::Appended }
     }
 
-    /// Notes that reads see all entries up to `position`.
+    /// Records that all entries up to `position` are applied.
     pub fn apply(&mut self, position: Position) {
         if position <= self.applied || position > self.last().position {
             return;
--- a/components/standin/src/replication.rs
+++ b/components/standin/src/replication.rs
@@ -1,8 +1,8 @@
-//! Replication, from the replica's side.
+//! The replica's side of replication.
 //!
-//! A replica takes from its primary whatever the primary offers, at once and
-//! again with each change or keepalive. What it has taken is kept; reads see it
-//! after the lag.
+//! A replica pulls entries from its primary after each change of the primary's log
+//! and at each keepalive. Pulled entries are in the replica's log at once; reads
+//! see them after the configured lag.
 
 use std::sync::Arc;
 
@@ -14,33 +14,36 @@
 use crate::sqlite;
 use crate::storage::{self, Rebuild};
 
-/// Longest pause between two signs of life.
+/// Longest time that a replica waits for a change before it polls its primary
+/// again.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time that a record takes from server to server.
+/// Simulated network delay of a batch between two servers.
 pub const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
-const APPLY_PAUSE: Duration = Duration::from_millis(1);
+const MIN_APPLY_PAUSE: Duration = Duration::from_millis(1);
 
-/// Copies from whichever primary the server follows.
+/// Pulls entries from the primary that the server follows, until the task is
+/// cancelled.
 pub async fn pull_entries(server: Arc<Server>) {
     loop {
-        match pull(&server).await {
+        match pull_batch(&server).await {
             Some(true) => {}
             Some(false) => tokio::time::sleep(NETWORK_DELAY).await,
-            None => drop(tokio::time::timeout(KEEPALIVE_INTERVAL, changed(&server)).await),
+            None => drop(tokio::time::timeout(KEEPALIVE_INTERVAL, next_change(&server)).await),
         }
     }
 }
 
-async fn changed(server: &Server) {
+async fn next_change(server: &Server) {
     let mut changes = server.changes();
     changes.borrow_and_update();
     drop(changes.changed().await);
 }
 
-// whether an offer was taken; none while there is no primary to ask
-async fn pull(server: &Arc<Server>) -> Option<bool> {
+// whether a batch was accepted; `None` while the server follows no primary or the
+// primary's address belongs to no server of the group
+async fn pull_batch(server: &Arc<Server>) -> Option<bool> {
     let (term, address, term_starts, last) = server.read(|storage| {
         let log = &storage.log;
         Some((log.term(), log.following()?, log.term_starts().to_vec(), log.last().position))
@@ -63,7 +66,10 @@
     }
     server.record_contact();
     if let Some(rebuild) = rebuild {
-        info!(server.log, "rewound"; "kept" => batch.match_position.0, "before" => last.0);
+        info!(
+            server.log, "rewound the log to match the primary";
+            "kept" => batch.match_position.0, "before" => last.0
+        );
         server.close_data_sessions();
         let task = rebuild_database(Arc::clone(server), rebuild);
         server.spawn(task);
@@ -72,7 +78,7 @@
     Some(true)
 }
 
-/// Builds a database anew and hands it to the server.
+/// Builds a database from the log's entries and installs it in the server.
 pub async fn rebuild_database(server: Arc<Server>, rebuild: Rebuild) {
     let Rebuild { generation, path, entries } = rebuild;
     let position = Position(entries.len() as u64);
@@ -83,7 +89,7 @@
     });
     match built.await {
         Ok(Ok(writer)) => {
-            server.change(|storage| storage.finish_rebuild(generation, writer, position))
+            server.change(|storage| storage.finish_rebuild(generation, writer, position));
         }
         Ok(Err(rejection)) => {
             error!(server.log, "could not rebuild the database"; "error" => %rejection);
@@ -92,18 +98,19 @@
     }
 }
 
-/// Shows to reads what has been held for the lag.
+/// Applies received entries once they are older than the lag, until the task is
+/// cancelled.
 pub async fn apply_entries(server: Arc<Server>) {
     loop {
         let (now, lag) = (server.now(), server.lag());
         match server.change(|storage| storage.apply_due(now, lag)) {
-            Ok(None) => drop(tokio::time::timeout(KEEPALIVE_INTERVAL, changed(&server)).await),
+            Ok(None) => drop(tokio::time::timeout(KEEPALIVE_INTERVAL, next_change(&server)).await),
             Ok(Some(due)) => {
-                let pause = due.since(server.now()).clamp(APPLY_PAUSE, KEEPALIVE_INTERVAL);
+                let pause = due.since(server.now()).clamp(MIN_APPLY_PAUSE, KEEPALIVE_INTERVAL);
                 tokio::time::sleep(pause).await;
             }
             Err(rejection) => {
-                error!(server.log, "could not apply a record"; "error" => %rejection);
+                error!(server.log, "could not apply log entries"; "error" => %rejection);
                 tokio::time::sleep(KEEPALIVE_INTERVAL).await;
             }
         }
--- a/components/standin/src/server.rs
+++ b/components/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! One server of a group: its listener, limits and faults.
+//! A server of a group: its listener, limits and faults.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,23 +22,23 @@
 use crate::storage::Storage;
 use crate::{announce, replication, session};
 
-/// One server.
+/// A server of a group.
 #[derive(Debug)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: Name,
-    /// Settings of its group.
+    /// Settings of the server's group.
     pub settings: Arc<Settings>,
-    /// What it counts.
+    /// Counters of connections, statements and commits.
     pub counters: Counters,
-    /// Statements that may run at once.
+    /// Slots for concurrent statements.
     pub slots: Semaphore,
-    /// Where it logs.
+    /// Logger that adds the server's name.
     pub log: Logger,
     storage: Mutex<Storage>,
-    changed: watch::Sender<u64>,
+    version: watch::Sender<u64>,
     clock: Clock,
     address: Mutex<SocketAddr>,
     incarnation: AtomicU64,
@@ -48,14 +48,14 @@
     slowdown: AtomicU32,
     lag: AtomicU64,
     peers: OnceLock<Vec<Weak<Server>>>,
-    life: Mutex<Life>,
+    lifecycle: Mutex<Lifecycle>,
     cancels: Mutex<HashMap<(i32, i32), Arc<Notify>>>,
-    sessions: AtomicI32,
+    next_session: AtomicI32,
 }
 
 #[derive(Debug)]
-enum Life {
-    // the socket keeps the port from being taken by another
+enum Lifecycle {
+    // the bound socket keeps other processes from taking the port
     Stopped { _port: Option<TcpSocket> },
     Running { token: CancellationToken, data: CancellationToken, tasks: TaskTracker },
 }
@@ -65,7 +65,8 @@
 }
 
 impl Server {
-    /// Makes a server that does not run yet; its database goes into `folder`.
+    /// Creates a server that does not run yet, with its database in a subfolder of
+    /// `folder`.
     ///
     /// # Errors
     /// [`Failure::Name`], [`Failure::Folder`] or [`Failure::Database`].
@@ -86,7 +87,7 @@
             slots: Semaphore::new(settings.slots),
             log: settings.log.new(o!("server" => name.to_string())),
             storage: Mutex::new(storage),
-            changed: watch::Sender::new(1),
+            version: watch::Sender::new(1),
             clock: Clock::start(),
             address: Mutex::new(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
             incarnation: AtomicU64::new(0),
@@ -96,21 +97,23 @@
             slowdown: AtomicU32::new(1),
             lag: AtomicU64::new(settings.lag.as_micros() as u64),
             peers: OnceLock::new(),
-            life: Mutex::new(Life::Stopped { _port: None }),
+            lifecycle: Mutex::new(Lifecycle::Stopped { _port: None }),
             cancels: Mutex::default(),
-            sessions: AtomicI32::new(1),
+            next_session: AtomicI32::new(1),
             settings: Arc::clone(settings),
             name,
         }))
     }
 
-    /// Makes the other servers of the group known; only the first call counts.
+    /// Sets the servers of the group, by which a replica finds its primary; only the
+    /// first call has an effect.
     pub fn set_peers(&self, peers: Vec<Weak<Self>>) {
         drop(self.peers.set(peers));
     }
 
-    /// Starts to listen, to copy and to announce, on the address of the last
-    /// start where that is still free.
+    /// Starts the listener, replication and announcements. The server listens on the
+    /// address of its previous start if that is still free. Does nothing if the
+    /// server runs.
     ///
     /// # Errors
     /// [`Failure::Listen`].
@@ -118,66 +121,69 @@
         if self.is_running() {
             return Ok(());
         }
-        let wanted = self.address();
+        let previous = self.address();
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let listener = match TcpListener::bind(wanted).await {
+        let listener = match TcpListener::bind(previous).await {
             Ok(listener) => listener,
             Err(_taken) => TcpListener::bind(any).await.change_context(Failure::Listen)?,
         };
         *lock(&self.address) = listener.local_addr().change_context(Failure::Listen)?;
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.incarnation.fetch_max(since.as_micros() as u64, Ordering::AcqRel);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        self.incarnation.fetch_max(since_epoch.as_micros() as u64, Ordering::AcqRel);
         let token = CancellationToken::new();
         let data = token.child_token();
         let tasks = TaskTracker::new();
-        tasks.spawn(until(token.clone(), listen(Arc::clone(self), listener, token.clone())));
-        tasks.spawn(until(token.clone(), replication::pull_entries(Arc::clone(self))));
-        tasks.spawn(until(token.clone(), replication::apply_entries(Arc::clone(self))));
-        tasks.spawn(until(token.clone(), announce::run(Arc::clone(self))));
-        *lock(&self.life) = Life::Running { token, data, tasks };
+        tasks.spawn(run_until(
+            token.clone(),
+            accept_connections(Arc::clone(self), listener, token.clone()),
+        ));
+        tasks.spawn(run_until(token.clone(), replication::pull_entries(Arc::clone(self))));
+        tasks.spawn(run_until(token.clone(), replication::apply_entries(Arc::clone(self))));
+        tasks.spawn(run_until(token.clone(), announce::run(Arc::clone(self))));
+        *lock(&self.lifecycle) = Lifecycle::Running { token, data, tasks };
         if let Some(rebuild) = self.read(Storage::unfinished_rebuild) {
             self.spawn(replication::rebuild_database(Arc::clone(self), rebuild));
         }
         Ok(())
     }
 
-    /// Ends the server at once, as a crash does: connections are reset. Its
-    /// log and database stay, and its port stays taken.
+    /// Stops the server at once, as a crash does: connections are reset. Log and
+    /// database are kept, and the port stays reserved.
     pub async fn crash(&self) {
         let tasks = {
-            let mut life = lock(&self.life);
-            let Life::Running { token, tasks, .. } = &*life else {
+            let mut lifecycle = lock(&self.lifecycle);
+            let Lifecycle::Running { token, tasks, .. } = &*lifecycle else {
                 return;
             };
             token.cancel();
             tasks.close();
             let tasks = tasks.clone();
-            *life = Life::Stopped { _port: None };
+            *lifecycle = Lifecycle::Stopped { _port: None };
             tasks
         };
         tasks.wait().await;
         self.change(|storage| storage.log.restart());
-        *lock(&self.life) = Life::Stopped { _port: self.reserve() };
+        *lock(&self.lifecycle) = Lifecycle::Stopped { _port: self.reserve_port() };
     }
 
     // a socket that is bound but does not listen refuses connections
-    fn reserve(&self) -> Option<TcpSocket> {
+    fn reserve_port(&self) -> Option<TcpSocket> {
         let socket = TcpSocket::new_v4().ok()?;
         socket.set_reuseaddr(true).ok()?;
         socket.bind(self.address()).ok()?;
         Some(socket)
     }
 
-    /// Whether the server's process lives.
+    /// Whether the server runs, so neither has crashed nor is yet to start.
     pub fn is_running(&self) -> bool {
-        matches!(*lock(&self.life), Life::Running { .. })
+        matches!(*lock(&self.lifecycle), Lifecycle::Running { .. })
     }
 
-    /// Token that ends data sessions.
+    /// Token whose cancellation ends the present data sessions.
     pub fn data_token(&self) -> CancellationToken {
-        match &*lock(&self.life) {
-            Life::Running { data, .. } => data.clone(),
-            Life::Stopped { .. } => {
+        match &*lock(&self.lifecycle) {
+            Lifecycle::Running { data, .. } => data.clone(),
+            Lifecycle::Stopped { .. } => {
                 let token = CancellationToken::new();
                 token.cancel();
                 token
@@ -185,48 +191,52 @@
         }
     }
 
-    /// Ends all data sessions, as the restart after a rewind does.
+    /// Ends all data sessions, as the restart of a database server after a rewind
+    /// does.
     pub fn close_data_sessions(&self) {
-        if let Life::Running { token, data, .. } = &mut *lock(&self.life) {
+        if let Lifecycle::Running { token, data, .. } = &mut *lock(&self.lifecycle) {
             data.cancel();
             *data = token.child_token();
         }
     }
 
-    /// Runs a task that ends with the server.
+    /// Spawns a task that [`Server::crash`] waits for; dropped if the server is
+    /// stopped.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        if let Life::Running { tasks, .. } = &*lock(&self.life) {
+        if let Lifecycle::Running { tasks, .. } = &*lock(&self.lifecycle) {
             tasks.spawn(task);
         }
     }
 
-    /// Where it listens.
+    /// Address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         *lock(&self.address)
     }
 
-    /// Raised by each start.
+    /// Incarnation of the server, higher after each start.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.load(Ordering::Acquire)
     }
 
-    /// The present time.
+    /// Present time of the server's clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Asks something of log and database.
-    pub fn read<T>(&self, ask: impl FnOnce(&mut Storage) -> T) -> T {
-        ask(&mut lock(&self.storage))
+    /// Runs a function on log and database without notifying the receivers of
+    /// [`Server::changes`].
+    pub fn read<T>(&self, read: impl FnOnce(&mut Storage) -> T) -> T {
+        read(&mut lock(&self.storage))
     }
 
-    /// Changes log or database, and wakes who waits.
+    /// Changes log or database, and notifies the receivers of [`Server::changes`] if
+    /// the log's version is higher.
     pub fn change<T>(&self, change: impl FnOnce(&mut Storage) -> T) -> T {
         let (answer, version) = {
             let mut storage = lock(&self.storage);
             (change(&mut storage), storage.log.version())
         };
-        self.changed.send_if_modified(|known| {
+        self.version.send_if_modified(|known| {
             let newer = version > *known;
             *known = version.max(*known);
             newer
@@ -234,64 +244,65 @@
         answer
     }
 
-    /// Tells of each change of the log.
+    /// Subscribes to the version of the log.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.version.subscribe()
     }
 
-    /// The server at an address, if it is one of this group.
+    /// The server of this group that listens on `address`.
     pub fn peer(&self, address: SocketAddr) -> Option<Arc<Self>> {
         let peers = self.peers.get().into_iter().flatten().filter_map(Weak::upgrade);
         peers.into_iter().find(|peer| peer.address() == address)
     }
 
-    /// Whether records can pass between two servers.
+    /// Whether log entries can pass from `other` to this server.
     pub fn is_connected_to(&self, other: &Self) -> bool {
         let partitioned = |server: &Self| server.partitioned.load(Ordering::Acquire);
         other.is_running() && !partitioned(self) && !partitioned(other)
     }
 
-    /// Cuts the server off from its group, or joins it again.
+    /// Partitions the server from the other servers of its group, or ends the
+    /// partition.
     pub fn set_partitioned(&self, partitioned: bool) {
         self.partitioned.store(partitioned, Ordering::Release);
     }
 
-    /// Notes that the primary was heard of.
+    /// Records the present time as that of the last batch from the primary.
     pub fn record_contact(&self) {
         self.last_contact.store(self.now().as_micros(), Ordering::Release);
     }
 
-    /// Time between the receipt of a record and its sight by reads.
+    /// Time from the receipt of an entry to its application.
     pub fn lag(&self) -> Duration {
         Duration::from_micros(self.lag.load(Ordering::Acquire))
     }
 
-    /// Sets the lag.
+    /// Sets the time from the receipt of an entry to its application.
     pub fn set_lag(&self, lag: Duration) {
         self.lag.store(lag.as_micros() as u64, Ordering::Release);
     }
 
-    /// Time that a statement holds its slot.
+    /// Time that each statement holds its slot, slowdown included.
     pub fn statement_time(&self) -> Duration {
         self.settings.statement_time * self.slowdown.load(Ordering::Acquire)
     }
 
-    /// Makes statements take so many times as long.
+    /// Multiplies the time that statements hold a slot; 0 counts as 1.
     pub fn set_slowdown(&self, times: u32) {
         self.slowdown.store(times.max(1), Ordering::Release);
     }
 
-    /// Whether it announces that it leaves.
+    /// Whether the server's announcements say that it leaves.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Announces that it leaves, or that it stays.
+    /// Sets whether the server's announcements say that it leaves.
     pub fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Release);
     }
 
-    /// What the server says of itself.
+    /// Status report of the server.
     pub fn status(&self) -> Status {
         let last_contact = Instant::from_micros(self.last_contact.load(Ordering::Acquire));
         let silence = self.now().since(last_contact);
@@ -309,10 +320,10 @@
         })
     }
 
-    /// Carries out a function and reports.
+    /// Executes a function and returns the status after it.
     ///
     /// # Errors
-    /// A record's failure while a server is promoted.
+    /// The error of a pending entry that could not be applied for a promotion.
     pub async fn call(&self, function: Function) -> Result<Status, Rejection> {
         match function {
             Function::Status { after, wait } => {
@@ -330,21 +341,22 @@
         Ok(self.status())
     }
 
-    /// Makes a session's number and key, by which its statements are cancelled.
+    /// Registers a session: returns its process id and secret key for cancel
+    /// requests, and the notification that cancels its statement.
     pub fn register_session(&self) -> ((i32, i32), Arc<Notify>) {
-        let pid = self.sessions.fetch_add(1, Ordering::Relaxed);
+        let pid = self.next_session.fetch_add(1, Ordering::Relaxed);
         let key = (pid, rand::random());
         let cancel = Arc::new(Notify::new());
         lock(&self.cancels).insert(key, Arc::clone(&cancel));
         (key, cancel)
     }
 
-    /// Forgets a session's key.
+    /// Removes a session, after which its key cancels nothing.
     pub fn unregister_session(&self, key: (i32, i32)) {
         lock(&self.cancels).remove(&key);
     }
 
-    /// Cancels what a session runs.
+    /// Cancels the statement that a session is running; an unknown key is ignored.
     pub fn cancel(&self, key: (i32, i32)) {
         if let Some(cancel) = lock(&self.cancels).get(&key) {
             cancel.notify_waiters();
@@ -352,11 +364,11 @@
     }
 }
 
-async fn until(token: CancellationToken, task: impl Future<Output = ()>) {
+async fn run_until(token: CancellationToken, task: impl Future<Output = ()>) {
     token.run_until_cancelled(task).await;
 }
 
-async fn listen(server: Arc<Server>, listener: TcpListener, token: CancellationToken) {
+async fn accept_connections(server: Arc<Server>, listener: TcpListener, token: CancellationToken) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/components/standin/src/session.rs
+++ b/components/standin/src/session.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: how it opens, and the loop over its messages.
+//! A client's connection: start-up, and the loop over its messages.
 
 use std::sync::Arc;
 
@@ -36,29 +36,30 @@
     ("is_superuser", "off"),
 ];
 
-/// Serves a connection until it ends or the server does; then it is reset.
+/// Serves a connection until the client ends it; when the server stops, the
+/// connection is reset.
 pub async fn serve(server: Arc<Server>, mut stream: TcpStream, token: CancellationToken) {
     drop(stream.set_nodelay(true));
     let mut data = None;
     let ended = {
         let mut connection = Connection::new(&mut stream);
-        let talk = talk(&server, &mut connection, &mut data);
-        token.run_until_cancelled(talk).await
+        let handling = handle_connection(&server, &mut connection, &mut data);
+        token.run_until_cancelled(handling).await
     };
     match ended {
         None => drop(stream.set_zero_linger()),
         Some(Ok(())) => {}
-        Some(Err(error)) => debug!(server.log, "a connection broke"; "error" => %error),
+        Some(Err(error)) => debug!(server.log, "connection failed"; "error" => %error),
     }
 }
 
-/// Both directions of a connection.
+/// A client's connection with its read and write buffers.
 #[derive(Debug)]
 pub struct Connection<'a> {
     stream: &'a mut TcpStream,
     inbox: BytesMut,
     context: DecodeContext,
-    /// Messages that wait for [`Wire::flush`].
+    /// Encoded messages that the next flush sends.
     pub outbox: BytesMut,
 }
 
@@ -86,17 +87,17 @@
     }
 }
 
-async fn talk(
+async fn handle_connection(
     server: &Arc<Server>,
     connection: &mut Connection<'_>,
     data: &mut Option<CancellationToken>,
 ) -> std::io::Result<()> {
-    let Some(startup) = open(server, connection).await? else {
+    let Some(startup) = read_startup(server, connection).await? else {
         return Ok(());
     };
     let user = startup.parameters.get("user").map_or("", String::as_str);
     if user == backend::sql::USER {
-        return converse(server, connection, user).await;
+        return run_session(server, connection, user).await;
     }
     let Some(_held) = server.counters.acquire_connection(server.settings.connections) else {
         let rejection =
@@ -106,7 +107,7 @@
     };
     let token = data.insert(server.data_token()).clone();
     tokio::time::sleep(server.settings.connect_time).await;
-    let ended = token.run_until_cancelled(converse(server, connection, user)).await;
+    let ended = token.run_until_cancelled(run_session(server, connection, user)).await;
     if let Some(ended) = ended {
         return ended;
     }
@@ -115,8 +116,9 @@
     connection.flush().await
 }
 
-// none where the connection only cancels, or ends before its start-up message
-async fn open(
+// the start-up message; `None` if the connection sent a cancel request, or ended
+// or sent anything else before it
+async fn read_startup(
     server: &Server,
     connection: &mut Connection<'_>,
 ) -> std::io::Result<Option<Startup>> {
@@ -144,40 +146,40 @@
     }
 }
 
-async fn converse(
+async fn run_session(
     server: &Arc<Server>,
     connection: &mut Connection<'_>,
     user: &str,
 ) -> std::io::Result<()> {
     let (key, cancel) = server.register_session();
-    let _listed = Listed { server, key };
-    greet(&mut connection.outbox, key);
+    let _registration = Registration { server, key };
+    put_session_start(&mut connection.outbox, key);
     connection.flush().await?;
     let mut session = Session::new(server, cancel, user == backend::sql::USER);
     while let Some(message) = connection.next().await? {
-        let go_on = session.on(message, &mut connection.outbox).await;
+        let keep_open = session.on(message, &mut connection.outbox).await;
         if session.is_flush_due() {
             connection.flush().await?;
         }
-        if !go_on {
+        if !keep_open {
             return Ok(());
         }
     }
     Ok(())
 }
 
-struct Listed<'a> {
+struct Registration<'a> {
     server: &'a Server,
     key: (i32, i32),
 }
 
-impl Drop for Listed<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
         self.server.unregister_session(self.key);
     }
 }
 
-fn greet(outbox: &mut BytesMut, (pid, secret): (i32, i32)) {
+fn put_session_start(outbox: &mut BytesMut, (pid, secret): (i32, i32)) {
     answer::put(outbox, &Reply::Authentication(Authentication::Ok));
     for (name, value) in PARAMETERS {
         answer::put_parameter_status(outbox, name, value);
--- a/components/standin/src/session/extended.rs
+++ b/components/standin/src/session/extended.rs
@@ -1,4 +1,4 @@
-//! Prepared statements and portals.
+//! The extended query protocol: prepared statements and portals.
 
 use std::collections::HashMap;
 
@@ -17,12 +17,13 @@
 use crate::session::run::{Outcome, Session};
 use crate::value::{self, Kind};
 
-/// Prepared statements and portals of a session.
+/// Prepared statements and portals of a session, and whether messages are skipped
+/// after an error.
 #[derive(Debug, Default)]
 pub struct Extended {
     prepared: HashMap<String, Prepared>,
     portals: HashMap<String, Portal>,
-    skipping: bool,
+    skip_to_sync: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -37,24 +38,24 @@
     prepared: Prepared,
     statement: Statement,
     formats: Vec<i16>,
-    // rows that a limited execution has left
-    rest: Option<Outcome>,
+    // outcome of the first execution, from which later ones send the remaining rows
+    outcome: Option<Outcome>,
     sent: usize,
 }
 
 impl Extended {
-    /// Ends a cycle: portals close, and errors are over.
+    /// Ends a query cycle: closes the portals and stops skipping messages.
     pub fn end_cycle(&mut self) {
         self.portals.clear();
-        self.skipping = false;
+        self.skip_to_sync = false;
     }
 }
 
 impl Session {
-    /// Takes a message of the extended protocol; after an error all are passed
-    /// over until the cycle ends.
+    /// Handles a message of the extended query protocol; after an error, messages are
+    /// skipped until `Sync`.
     pub(super) async fn on_extended(&mut self, message: Message, outbox: &mut BytesMut) {
-        if self.extended.skipping {
+        if self.extended.skip_to_sync {
             return;
         }
         let answered = match message {
@@ -70,15 +71,15 @@
         };
         if let Err(rejection) = answered {
             self.fail(&rejection, outbox);
-            self.extended.skipping = true;
+            self.extended.skip_to_sync = true;
         }
     }
 
     fn parse(&mut self, parse: Parse, outbox: &mut BytesMut) -> Result<(), Rejection> {
         let description = self.describe(&parse.query)?;
-        let stated = parse.type_oids.iter().map(|oid| (*oid != 0).then(|| Kind::from_oid(*oid)));
+        let declared = parse.type_oids.iter().map(|oid| (*oid != 0).then(|| Kind::from_oid(*oid)));
         let mut parameters = description.parameters;
-        for (parameter, kind) in parameters.iter_mut().zip(stated) {
+        for (parameter, kind) in parameters.iter_mut().zip(declared) {
             *parameter = kind.unwrap_or(*parameter);
         }
         let prepared = Prepared { sql: parse.query, parameters, columns: description.columns };
@@ -105,7 +106,7 @@
         let values = pairs.map(value).collect::<Result<Vec<_>, _>>()?;
         let statement = Statement { sql: prepared.sql.clone(), values };
         let formats = bind.result_column_format_codes;
-        let portal = Portal { prepared, statement, formats, rest: None, sent: 0 };
+        let portal = Portal { prepared, statement, formats, outcome: None, sent: 0 };
         self.extended.portals.insert(bind.portal_name.unwrap_or_default(), portal);
         answer::put(outbox, &Reply::BindComplete(BindComplete::new()));
         Ok(())
@@ -127,11 +128,11 @@
             let types = prepared.parameters.iter().map(|kind| kind.oid()).collect();
             let parameters = ParameterDescription::new(types);
             answer::put(outbox, &Reply::ParameterDescription(parameters));
-            put_columns(outbox, &prepared.columns, &[]);
+            put_result_columns(outbox, &prepared.columns, &[]);
             return Ok(());
         }
         let portal = self.extended.portals.get(name).ok_or_else(no_portal)?;
-        put_columns(outbox, &portal.prepared.columns, &portal.formats);
+        put_result_columns(outbox, &portal.prepared.columns, &portal.formats);
         Ok(())
     }
 
@@ -142,8 +143,8 @@
     ) -> Result<(), Rejection> {
         let name = execute.name.clone().unwrap_or_default();
         let mut portal = self.extended.portals.remove(&name).ok_or_else(no_portal)?;
-        let outcome = match portal.rest.take() {
-            Some(rest) => rest,
+        let outcome = match portal.outcome.take() {
+            Some(outcome) => outcome,
             None => self.execute(portal.statement.clone()).await?,
         };
         let limit = usize::try_from(execute.max_rows).unwrap_or_default();
@@ -154,13 +155,13 @@
             answer::put_data_row(outbox, row, &kinds, &portal.formats);
         }
         portal.sent += rows.len();
-        let left = portal.sent < outcome.output.rows.len();
+        let has_more = portal.sent < outcome.output.rows.len();
         match &outcome.tag {
-            _ if left => answer::put(outbox, &Reply::PortalSuspended(PortalSuspended::new())),
+            _ if has_more => answer::put(outbox, &Reply::PortalSuspended(PortalSuspended::new())),
             None => answer::put(outbox, &Reply::EmptyQueryResponse(EmptyQueryResponse::new())),
             Some(tag) => answer::put_command_complete(outbox, tag),
         }
-        portal.rest = Some(outcome);
+        portal.outcome = Some(outcome);
         self.extended.portals.insert(name, portal);
         Ok(())
     }
@@ -180,7 +181,7 @@
     Rejection::new(SqlState::UndefinedPortal, "no such portal")
 }
 
-fn put_columns(outbox: &mut BytesMut, columns: &[(String, Kind)], formats: &[i16]) {
+fn put_result_columns(outbox: &mut BytesMut, columns: &[(String, Kind)], formats: &[i16]) {
     if columns.is_empty() {
         return answer::put(outbox, &Reply::NoData(NoData::new()));
     }
--- a/components/standin/src/session/run.rs
+++ b/components/standin/src/session/run.rs
@@ -1,4 +1,4 @@
-//! What a session does with statements: transactions, slots, functions.
+//! Execution of a session's statements: transactions, slots, SQL functions.
 
 use std::sync::Arc;
 
@@ -22,59 +22,60 @@
 use crate::transaction::{Transaction, Write};
 use crate::value::{self, Kind, Value};
 
-/// A session past its start-up.
+/// A session whose start-up is complete.
 #[derive(Debug)]
 pub struct Session {
     server: Arc<Server>,
     cancel: Arc<Notify>,
-    probe: bool,
+    is_probe: bool,
     reader: Option<(u64, Connection)>,
     transaction: Option<Transaction>,
     pub(super) extended: Extended,
-    pub(super) flush: bool,
+    pub(super) flush_due: bool,
 }
 
-/// What a statement is answered with.
+/// Result and command tag of an executed statement.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Its result.
+    /// Result of the statement.
     pub output: Output,
-    /// Its tag; none for an empty statement.
+    /// Command tag; `None` for an empty statement.
     pub tag: Option<String>,
 }
 
 impl Outcome {
-    fn bare(tag: &str) -> Self {
+    fn without_rows(tag: &str) -> Self {
         Self { output: Output::default(), tag: Some(tag.to_owned()) }
     }
 }
 
 impl Session {
-    /// Makes a session that has run nothing yet.
-    pub fn new(server: &Arc<Server>, cancel: Arc<Notify>, probe: bool) -> Self {
+    /// Creates a session without an open transaction; `is_probe` marks the system's
+    /// own sessions, whose reads are not counted.
+    pub fn new(server: &Arc<Server>, cancel: Arc<Notify>, is_probe: bool) -> Self {
         Self {
             server: Arc::clone(server),
             cancel,
-            probe,
+            is_probe,
             reader: None,
             transaction: None,
             extended: Extended::default(),
-            flush: false,
+            flush_due: false,
         }
     }
 
-    /// Whether what waits is to be sent now.
+    /// Whether the last message asks for the outbox to be sent.
     pub fn is_flush_due(&self) -> bool {
-        self.flush
+        self.flush_due
     }
 
-    /// Takes a message; returns whether the session goes on.
+    /// Handles a message; returns `false` if the client ends the session.
     pub async fn on(&mut self, message: Message, outbox: &mut BytesMut) -> bool {
-        self.flush = false;
+        self.flush_due = false;
         match message {
             Message::Query(query) => self.query(&query.query, outbox).await,
             Message::Sync(_) => self.sync(outbox),
-            Message::Flush(_) => self.flush = true,
+            Message::Flush(_) => self.flush_due = true,
             Message::Terminate(_) => return false,
             other => self.on_extended(other, outbox).await,
         }
@@ -99,7 +100,7 @@
         self.sync(outbox);
     }
 
-    /// Ends a cycle: what is not in a transaction of the caller's commits.
+    /// Ends a query cycle, and commits an implicit transaction.
     fn sync(&mut self, outbox: &mut BytesMut) {
         self.extended.end_cycle();
         let implicit = self.transaction.as_ref().is_some_and(|open| !open.explicit);
@@ -107,7 +108,7 @@
             answer::put_error(outbox, Severity::Error, &rejection);
         }
         answer::put_ready_for_query(outbox, self.status());
-        self.flush = true;
+        self.flush_due = true;
     }
 
     fn status(&self) -> TransactionStatus {
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Answers with an error, and fails the transaction.
+    /// Sends an error; marks an explicit transaction as failed and discards an
+    /// implicit one.
     pub(super) fn fail(&mut self, rejection: &Rejection, outbox: &mut BytesMut) {
         answer::put_error(outbox, Severity::Error, rejection);
         match &mut self.transaction {
@@ -127,7 +129,8 @@
         }
     }
 
-    /// Executes one statement.
+    /// Executes a statement: an SQL function, a transaction command or a statement
+    /// for the database.
     pub(super) async fn execute(&mut self, statement: Statement) -> Result<Outcome, Rejection> {
         if let Some(function) = function::parse(&statement.sql) {
             return self.call(function).await;
@@ -143,21 +146,21 @@
             Command::Empty => Ok(Outcome { output: Output::default(), tag: None }),
             Command::Begin => {
                 self.transaction.get_or_insert_default().explicit = true;
-                Ok(Outcome::bare("BEGIN"))
+                Ok(Outcome::without_rows("BEGIN"))
             }
             Command::Commit if !failed => {
                 let server = Arc::clone(&self.server);
-                let _busy = occupy(&server, &self.cancel, Duration::ZERO).await?;
-                self.commit().map(|()| Outcome::bare("COMMIT"))
+                let _slot = acquire_slot(&server, &self.cancel, Duration::ZERO).await?;
+                self.commit().map(|()| Outcome::without_rows("COMMIT"))
             }
             Command::Commit | Command::Rollback => {
                 self.transaction = None;
-                Ok(Outcome::bare("ROLLBACK"))
+                Ok(Outcome::without_rows("ROLLBACK"))
             }
             Command::RollbackTo | Command::Savepoint => self.savepoint(statement),
-            Command::Set => Ok(Outcome::bare("SET")),
-            Command::Discard => Ok(Outcome::bare("DISCARD ALL")),
-            Command::Show(name) => Ok(show(name)),
+            Command::Set => Ok(Outcome::without_rows("SET")),
+            Command::Discard => Ok(Outcome::without_rows("DISCARD ALL")),
+            Command::Show(name) => Ok(show_parameter(name)),
             Command::Unsupported => {
                 let message = "the stand-in does not offer this statement";
                 Err(Rejection::new(SqlState::Unsupported, message))
@@ -189,13 +192,13 @@
         let open = self.transaction.get_or_insert_default();
         let failed = std::mem::take(&mut open.failed);
         if !primary {
-            return Ok(Outcome::bare(&tag));
+            return Ok(Outcome::without_rows(&tag));
         }
         let server = &self.server;
         match server.read(|storage| storage.dry_run(open, &statement)) {
             Ok(output) => {
                 open.writes.push(Write { statement, output });
-                Ok(Outcome::bare(&tag))
+                Ok(Outcome::without_rows(&tag))
             }
             Err(rejection) => {
                 open.failed = failed;
@@ -206,8 +209,9 @@
 
     async fn run(&mut self, statement: Statement) -> Result<Outcome, Rejection> {
         let server = Arc::clone(&self.server);
-        let _busy = occupy(&server, &self.cancel, sql::sleep_duration(&statement.sql)).await?;
-        let output = self.run_now(&statement)?;
+        let _slot =
+            acquire_slot(&server, &self.cancel, sql::sleep_duration(&statement.sql)).await?;
+        let output = self.execute_now(&statement)?;
         let tag = sql::command_tag(&statement.sql, output.rows.len(), output.changed);
         if !output.read_only {
             let term = self.server.read(|storage| storage.log.term());
@@ -218,7 +222,7 @@
         Ok(Outcome { output, tag: Some(tag) })
     }
 
-    fn run_now(&mut self, statement: &Statement) -> Result<Output, Rejection> {
+    fn execute_now(&mut self, statement: &Statement) -> Result<Output, Rejection> {
         let empty = Transaction::default();
         let wrote = self.transaction.as_ref().is_some_and(|open| !open.writes.is_empty());
         if !wrote {
@@ -234,7 +238,7 @@
     }
 
     fn count_read(&self) {
-        if !self.probe && self.transaction.is_none() {
+        if !self.is_probe && self.transaction.is_none() {
             let primary = self.server.read(|storage| storage.log.role()) == Role::Primary;
             self.server.counters.record_read(primary);
         }
@@ -250,10 +254,11 @@
         Ok(&self.reader.insert(reader).1)
     }
 
-    /// Describes a statement as this session sees it.
+    /// Describes parameters and columns of a statement, with the uncommitted writes of
+    /// the session's transaction.
     pub(super) fn describe(&mut self, sql: &str) -> Result<Description, Rejection> {
-        let known = sql::classify(sql) == Command::Other && function::parse(sql).is_none();
-        if !known {
+        let is_query = sql::classify(sql) == Command::Other && function::parse(sql).is_none();
+        if !is_query {
             return Ok(Description::default());
         }
         match &self.transaction {
@@ -274,8 +279,9 @@
     }
 }
 
-// a slot, and the time that a statement takes in it
-async fn occupy<'a>(
+// waits for a slot and then for the time that a statement takes in it, unless the
+// statement is cancelled
+async fn acquire_slot<'a>(
     server: &'a Server,
     cancel: &Notify,
     pause: Duration,
@@ -283,17 +289,17 @@
     let queued = server.slots.available_permits() == 0;
     if queued {
         let role = server.read(|storage| storage.log.role());
-        debug!(server.log, "a statement found no free slot"; "role" => %role);
+        debug!(server.log, "statement is waiting for a free slot"; "role" => %role);
     }
-    let held = server.counters.start_statement(queued);
-    let work = async {
+    let guard = server.counters.start_statement(queued);
+    let execution = async {
         let permit = server.slots.acquire().await;
         tokio::time::sleep(server.statement_time() + pause).await;
         permit
     };
     tokio::select! {
-        permit = work => match permit {
-            Ok(permit) => Ok((permit, held)),
+        permit = execution => match permit {
+            Ok(permit) => Ok((permit, guard)),
             Err(_closed) => Err(Rejection::new(SqlState::Shutdown, "the server is stopping")),
         },
         () = cancel.notified() => {
@@ -303,7 +309,7 @@
     }
 }
 
-fn show(name: String) -> Outcome {
+fn show_parameter(name: String) -> Outcome {
     let known = super::PARAMETERS.iter().find(|(known, _)| known.eq_ignore_ascii_case(&name));
     let value = known.map_or("", |(_, value)| value);
     let output = Output {
--- a/components/standin/src/settings.rs
+++ b/components/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a group is started with.
+//! Settings of a group.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,47 +6,48 @@
 use base::prelude::*;
 use slog::Logger;
 
-/// Time that a data connection takes to open.
+/// Default time that a data connection takes to open.
 pub const CONNECT_TIME: Duration = Duration::from_millis(12);
 
-/// Time that each statement holds a slot beyond its own work.
+/// Default time that each statement holds a slot in addition to its execution.
 pub const STATEMENT_TIME: Duration = Duration::from_millis(1);
 
 /// Settings of a group.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the group; servers are named after it and their number.
+    /// Name of the group; a server's name is this name and the server's number.
     pub name: Name,
-    /// Availability zones, given to the servers in turn.
+    /// Availability zones, assigned to the servers in rotation.
     pub zones: Vec<Name>,
-    /// Number of servers.
+    /// Number of servers in the group.
     pub servers: usize,
-    /// Statements that a server runs at once.
+    /// Statements that a server runs concurrently.
     pub slots: usize,
-    /// Data connections that a server accepts.
+    /// Concurrent data connections that a server accepts.
     pub connections: usize,
     /// Time that a data connection takes to open.
     pub connect_time: Duration,
-    /// Time between the receipt of a record and its sight by reads.
+    /// Time from the receipt of an entry to its application, after which reads see
+    /// it.
     pub lag: Duration,
-    /// Web addresses of the control members to announce to; none for no
-    /// announcements.
+    /// HTTP addresses of the control members to announce to; if empty, the servers
+    /// do not announce themselves.
     pub controls: Vec<SocketAddr>,
-    /// Labels that the servers announce.
+    /// Labels in the servers' announcements.
     pub labels: BTreeMap<Name, Name>,
-    /// Seed of what is drawn.
+    /// Seed for the random choice of the control member that is tried first.
     pub seed: u64,
-    /// Whether server 0 starts as the primary of term 1 and the others follow
-    /// it; else all start as replicas of term 0.
+    /// Whether server 0 starts as the primary of term 1 and the others follow it;
+    /// otherwise all start as replicas of term 0.
     pub settled: bool,
-    /// Time that each statement holds a slot beyond its own work.
+    /// Time that each statement holds a slot in addition to its execution.
     pub statement_time: Duration,
-    /// Where events are logged.
+    /// Logger of the group.
     pub log: Logger,
 }
 
 impl Settings {
-    /// Settings of a small group that announces itself to nobody.
+    /// Defaults: three servers in one availability zone, without announcements.
     pub fn new(name: Name) -> Self {
         Self {
             zones: vec![name.clone()],
--- a/components/standin/src/sql.rs
+++ b/components/standin/src/sql.rs
@@ -1,35 +1,36 @@
-//! As much of SQL as a server must see before SQLite does.
+//! Scanning of SQL for what a server handles before SQLite runs the statement.
 
 use base::prelude::*;
 
-/// What a statement asks of the session rather than of the database.
+/// Class of a statement, by whether the session or the database handles it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Nothing but white space and comments.
+    /// Only white space and comments.
     Empty,
     /// Opens a transaction.
     Begin,
-    /// Ends it and keeps its work.
+    /// Commits the transaction.
     Commit,
-    /// Ends it and drops its work.
+    /// Rolls the transaction back.
     Rollback,
     /// Sets or releases a savepoint.
     Savepoint,
-    /// Goes back to a savepoint.
+    /// Rolls back to a savepoint.
     RollbackTo,
-    /// Sets a parameter; it has no effect.
+    /// Sets or resets a parameter; has no effect.
     Set,
-    /// Shows a parameter.
+    /// Shows the parameter of this name.
     Show(String),
-    /// Forgets the session's state.
+    /// Discards session state or a prepared statement; has no effect.
     Discard,
-    /// Is not offered.
+    /// A statement that the stand-in does not support.
     Unsupported,
-    /// A statement for the database.
+    /// Any other statement, which the database runs.
     Other,
 }
 
-/// Splits a text at the semicolons between its statements.
+/// Splits a text at the semicolons outside of quotes and comments; empty
+/// statements are left out.
 pub fn split_statements(text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut start = 0;
@@ -39,15 +40,15 @@
             parts.push(&text[start..at]);
             start = at + 1;
         }
-        at += token(&text.as_bytes()[at..]);
+        at += token_length(&text.as_bytes()[at..]);
     }
     parts.push(&text[start..]);
     parts.retain(|part| !strip_leading_comments(part).is_empty());
     parts
 }
 
-// bytes of a quoted text or comment that begins here, else one
-fn token(bytes: &[u8]) -> usize {
+// length in bytes of the quoted text or comment at the start of `bytes`, else 1
+fn token_length(bytes: &[u8]) -> usize {
     let until = |end: &[u8], from: usize| {
         let rest = bytes.get(from..).unwrap_or_default();
         let found = rest.windows(end.len()).position(|window| window == end);
@@ -62,16 +63,16 @@
     }
 }
 
-/// The text without white space and comments before its first word.
+/// Strips white space around a statement and comments before its first word.
 pub fn strip_leading_comments(text: &str) -> &str {
     let mut rest = text.trim();
     while rest.starts_with("--") || rest.starts_with("/*") {
-        rest = rest[token(rest.as_bytes())..].trim_start();
+        rest = rest[token_length(rest.as_bytes())..].trim_start();
     }
     rest
 }
 
-/// The first words of a statement, in upper case.
+/// Words of a statement, in upper case.
 pub fn words(text: &str) -> impl Iterator<Item = String> + use<'_> {
     strip_leading_comments(text)
         .split(|character: char| !(character.is_alphanumeric() || character == '_'))
@@ -79,7 +80,7 @@
         .map(str::to_ascii_uppercase)
 }
 
-/// What a statement asks of the session.
+/// Classifies a statement by its first words.
 pub fn classify(text: &str) -> Command {
     let mut words = words(text);
     let Some(first) = words.next() else {
@@ -104,7 +105,7 @@
     }
 }
 
-/// The tag of a statement that has completed.
+/// Command tag of a completed statement.
 pub fn command_tag(text: &str, rows: usize, changed: u64) -> String {
     let mut words = words(text);
     let first = words.next().unwrap_or_default();
@@ -113,8 +114,8 @@
         "UPDATE" | "DELETE" => format!("{first} {changed}"),
         "SELECT" | "VALUES" | "WITH" => format!("SELECT {rows}"),
         "CREATE" | "DROP" | "ALTER" => {
-            let passed = ["TEMP", "TEMPORARY", "UNIQUE", "OR", "REPLACE"];
-            let object = words.find(|word| !passed.contains(&word.as_str()));
+            let modifiers = ["TEMP", "TEMPORARY", "UNIQUE", "OR", "REPLACE"];
+            let object = words.find(|word| !modifiers.contains(&word.as_str()));
             format!("{first} {}", object.unwrap_or_default())
         }
         "START" => "BEGIN".to_owned(),
@@ -125,7 +126,7 @@
     }
 }
 
-/// The time that a statement asks to hold its slot by `trefoil_sleep(MS)`.
+/// Time that `trefoil_sleep(MS)` in a statement adds to the hold of its slot.
 pub fn sleep_duration(text: &str) -> Duration {
     let name = "trefoil_sleep(";
     let Some(at) = text.find(name) else {
--- a/components/standin/src/sqlite.rs
+++ b/components/standin/src/sqlite.rs
@@ -1,4 +1,4 @@
-//! The SQLite database of one server.
+//! The SQLite database of a server.
 
 use std::path::Path;
 
@@ -11,32 +11,32 @@
 use crate::value::{Kind, Value};
 
 const CACHED_STATEMENTS: usize = 256;
-const BUSY: std::time::Duration = std::time::Duration::from_secs(5);
+const BUSY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// A column of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Column {
-    /// Its name.
+    /// Name of the column.
     pub name: String,
-    /// Its type, where it is that of a declared column.
+    /// Declared type, if the result's column is a column of a table.
     pub declared: Option<Kind>,
 }
 
 /// The result of a statement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
-    /// Columns; none for a statement that returns no rows.
+    /// Columns; empty for a statement that returns no rows.
     pub columns: Vec<Column>,
-    /// Rows.
+    /// Values by row and column.
     pub rows: Vec<Vec<Value>>,
-    /// Rows inserted, updated or deleted.
+    /// Number of rows inserted, updated or deleted.
     pub changed: u64,
     /// Whether the statement only reads.
     pub read_only: bool,
 }
 
 impl Output {
-    /// Type of a column: as declared, else by the first value that is not null.
+    /// Type of a column: as declared, else by the first non-null value, else text.
     pub fn kind(&self, column: usize) -> Kind {
         let by_value = || {
             let values = self.rows.iter().map(|row| &row[column]);
@@ -52,27 +52,27 @@
     }
 }
 
-/// Opens a database; it is made where none is.
+/// Opens a database, and creates the file if there is none.
 ///
 /// # Errors
-/// SQLite's own.
+/// Errors of SQLite.
 pub fn open(path: &Path) -> rusqlite::Result<Connection> {
     let connection = Connection::open(path)?;
-    connection.busy_timeout(BUSY)?;
+    connection.busy_timeout(BUSY_TIMEOUT)?;
     connection.execute_batch("PRAGMA journal_mode = WAL; PRAGMA synchronous = OFF;")?;
     connection.set_prepared_statement_cache_capacity(CACHED_STATEMENTS);
     let flags = FunctionFlags::SQLITE_UTF8;
-    // the session itself waits, before the statement runs
+    // only returns its argument: the session waits before it runs the statement
     connection.create_scalar_function("trefoil_sleep", 1, flags, |call| call.get::<i64>(0))?;
     connection
         .create_scalar_function("version", 0, flags, |_call| Ok("PostgreSQL 16.0 stand-in"))?;
     Ok(connection)
 }
 
-/// Runs a statement and takes its whole result.
+/// Runs a statement and collects its whole result.
 ///
 /// # Errors
-/// A rejection with the nearest SQLSTATE.
+/// The error of SQLite, with the SQLSTATE that fits best.
 pub fn run(connection: &Connection, statement: &Statement) -> Result<Output, Rejection> {
     let mut prepared = connection.prepare_cached(&statement.sql)?;
     bind(&mut prepared, &statement.values)?;
@@ -94,7 +94,7 @@
 
 fn bind(prepared: &mut rusqlite::Statement<'_>, values: &[Value]) -> Result<(), Rejection> {
     for index in 1..=prepared.parameter_count() {
-        let number = number(prepared, index);
+        let number = parameter_number(prepared, index);
         let value = number.checked_sub(1).and_then(|at| values.get(at));
         let missing = || {
             Rejection::new(SqlState::ProtocolViolation, format!("parameter ${number} is missing"))
@@ -104,8 +104,9 @@
     Ok(())
 }
 
-// the number in `$1`; SQLite counts names in the order they appear
-fn number(prepared: &rusqlite::Statement<'_>, index: usize) -> usize {
+// the number in a name such as `$1`, since SQLite numbers parameters by first
+// appearance
+fn parameter_number(prepared: &rusqlite::Statement<'_>, index: usize) -> usize {
     let name = prepared.parameter_name(index).unwrap_or_default();
     name.trim_start_matches(['$', '?']).parse().unwrap_or(index)
 }
@@ -121,36 +122,37 @@
 /// Whether a statement only reads.
 ///
 /// # Errors
-/// A rejection where it can't be prepared.
+/// A rejection if the statement can't be prepared.
 pub fn is_read_only(connection: &Connection, sql: &str) -> Result<bool, Rejection> {
     Ok(connection.prepare_cached(sql)?.readonly())
 }
 
-/// A statement's parameters and result, before it runs.
+/// Parameters and columns of a prepared statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Description {
-    /// Types of the parameters; text where nothing tells.
+    /// Types of the parameters; text if none could be inferred.
     pub parameters: Vec<Kind>,
-    /// Columns and their types.
+    /// Names and types of the columns.
     pub columns: Vec<(String, Kind)>,
 }
 
-/// Describes a statement. Where a column of a read is no declared one, its
-/// type is that of the first row with all parameters null.
+/// Describes a statement. If a read has a column without a declared type, the
+/// statement runs with all parameters null, and the type follows from the values
+/// of that result.
 ///
 /// # Errors
-/// A rejection where it can't be prepared.
+/// A rejection if the statement can't be prepared.
 pub fn describe(connection: &Connection, sql: &str) -> Result<Description, Rejection> {
     let prepared = connection.prepare_cached(sql)?;
-    let numbers = (1..=prepared.parameter_count()).map(|index| number(&prepared, index));
+    let numbers = (1..=prepared.parameter_count()).map(|index| parameter_number(&prepared, index));
     let parameters = infer::parameters(connection, sql, numbers.max().unwrap_or_default());
     let mut output = Output { columns: columns(&prepared), ..Output::default() };
     let undeclared = output.columns.iter().any(|column| column.declared.is_none());
     if undeclared && prepared.readonly() {
         drop(prepared);
         let values = vec![Value::Null; parameters.len()];
-        let trial = run(connection, &Statement { sql: sql.to_owned(), values });
-        output.rows = trial.map(|trial| trial.rows).unwrap_or_default();
+        let result = run(connection, &Statement { sql: sql.to_owned(), values });
+        output.rows = result.map(|result| result.rows).unwrap_or_default();
     }
     let kinds = output.kinds();
     let names = output.columns.into_iter().map(|column| column.name);
--- a/components/standin/src/storage.rs
+++ b/components/standin/src/storage.rs
@@ -1,8 +1,8 @@
-//! Log and database of one server, to be held under one lock.
+//! Log and database of a server, which one lock guards.
 //!
-//! A commit runs in SQLite and is appended to the log within one turn of the
-//! lock, and so is a fence: once a fence has answered, no commit of a lower
-//! term can follow.
+//! A commit runs in SQLite and is appended to the log under a single hold of the
+//! lock, and a fence takes the same lock: once a fence has returned, no commit of a
+//! lower term can follow.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use crate::sqlite::{self, Description, Output};
 use crate::transaction::{Transaction, Write};
 
-/// Log and database of one server.
+/// Log and database of a server.
 #[derive(Debug)]
 pub struct Storage {
-    /// The log.
+    /// Replication log of the server.
     pub log: Log,
     writer: Connection,
     folder: PathBuf,
@@ -29,14 +29,14 @@
     arrivals: VecDeque<(Position, Instant)>,
 }
 
-/// A database that is to be built anew from the start of the log.
+/// A database that must be rebuilt from the start of the log.
 #[derive(Debug)]
 pub struct Rebuild {
-    /// Number of the new database.
+    /// Generation of the new database.
     pub generation: u64,
-    /// Its file.
+    /// File of the new database.
     pub path: PathBuf,
-    /// All entries that are to be in it.
+    /// Entries that the new database must contain.
     pub entries: Vec<Arc<Entry>>,
 }
 
@@ -44,11 +44,11 @@
     /// Opens an empty database in a folder.
     ///
     /// # Errors
-    /// SQLite's own.
+    /// Errors of SQLite.
     pub fn open(folder: &Path) -> rusqlite::Result<Self> {
         Ok(Self {
             log: Log::new(),
-            writer: sqlite::open(&path(folder, 0))?,
+            writer: sqlite::open(&database_path(folder, 0))?,
             folder: folder.to_owned(),
             generation: 0,
             rebuilding: false,
@@ -56,71 +56,76 @@
         })
     }
 
-    /// Number and file of the database that readers are to open.
+    /// Generation and file of the present database, for readers.
     ///
     /// # Errors
-    /// [`SqlState::Starting`] while it is rebuilt.
+    /// [`SqlState::Starting`] while the database is being rebuilt.
     pub fn database(&self) -> Result<(u64, PathBuf), Rejection> {
         if self.rebuilding {
             return Err(Rejection::new(SqlState::Starting, "the database is being rebuilt"));
         }
-        Ok((self.generation, path(&self.folder, self.generation)))
+        Ok((self.generation, database_path(&self.folder, self.generation)))
     }
 
-    /// Runs a statement upon the earlier writes of its transaction and undoes
-    /// both.
+    /// Runs a statement after the earlier writes of its transaction, and rolls all of
+    /// them back.
     ///
     /// # Errors
-    /// The statement's own, or [`SqlState::ReadOnly`] for a write where the server
-    /// is no primary.
+    /// The error of the statement, [`SqlState::ReadOnly`] if the server is not the
+    /// primary of the transaction's term, or [`SqlState::Serialization`] if an earlier
+    /// write has another result.
     pub fn dry_run(
         &mut self,
         transaction: &Transaction,
         statement: &Statement,
     ) -> Result<Output, Rejection> {
-        self.check(transaction)?;
-        self.upon(transaction, |writer| sqlite::run(writer, statement))
+        self.check_writable(transaction)?;
+        self.run_rolled_back(transaction, |writer| sqlite::run(writer, statement))
     }
 
-    /// Describes a statement upon the earlier writes of its transaction.
+    /// Describes a statement after the earlier writes of its transaction, which are
+    /// rolled back.
     ///
     /// # Errors
-    /// A rejection where it can't be prepared.
+    /// A rejection if the statement can't be prepared, or
+    /// [`SqlState::Serialization`] if an earlier write has another result.
     pub fn describe(
         &mut self,
         transaction: &Transaction,
         sql: &str,
     ) -> Result<Description, Rejection> {
-        self.upon(transaction, |writer| sqlite::describe(writer, sql))
+        self.run_rolled_back(transaction, |writer| sqlite::describe(writer, sql))
     }
 
-    fn check(&self, transaction: &Transaction) -> Result<(), Rejection> {
+    fn check_writable(&self, transaction: &Transaction) -> Result<(), Rejection> {
         self.database()?;
-        let same = transaction.term.is_none_or(|term| term == self.log.term());
-        if self.log.role() != Role::Primary || !same {
+        let is_current_term = transaction.term.is_none_or(|term| term == self.log.term());
+        if self.log.role() != Role::Primary || !is_current_term {
             return Err(Rejection::read_only());
         }
         Ok(())
     }
 
-    fn upon<T>(
+    fn run_rolled_back<T>(
         &mut self,
         transaction: &Transaction,
-        ask: impl FnOnce(&Connection) -> Result<T, Rejection>,
+        operation: impl FnOnce(&Connection) -> Result<T, Rejection>,
     ) -> Result<T, Rejection> {
         self.writer.execute_batch("BEGIN IMMEDIATE")?;
-        let answer = replay(&self.writer, &transaction.writes).and_then(|()| ask(&self.writer));
+        let answer =
+            replay(&self.writer, &transaction.writes).and_then(|()| operation(&self.writer));
         self.writer.execute_batch("ROLLBACK")?;
         answer
     }
 
-    /// Commits a transaction's writes and appends them to the log.
+    /// Commits the writes of a transaction and appends them to the log.
     ///
     /// # Errors
-    /// [`SqlState::ReadOnly`] where the server is not the primary of the term any
-    /// more, [`SqlState::Serialization`] where a write has another result now.
+    /// [`SqlState::ReadOnly`] if the server is no longer the primary of the
+    /// transaction's term, [`SqlState::Serialization`] if a write has another result
+    /// than before.
     pub fn commit(&mut self, transaction: Transaction) -> Result<Mark, Rejection> {
-        self.check(&transaction)?;
+        self.check_writable(&transaction)?;
         self.writer.execute_batch("BEGIN IMMEDIATE")?;
         if let Err(rejection) = replay(&self.writer, &transaction.writes) {
             self.writer.execute_batch("ROLLBACK")?;
@@ -131,10 +136,12 @@
         self.log.append(statements).ok_or_else(Rejection::read_only)
     }
 
-    /// Promotes the server in `term`; all that it holds is applied first.
+    /// Promotes the server to the primary of `term`, after all pending entries have
+    /// been applied. Does nothing if the log is not promotable or the database is being
+    /// rebuilt.
     ///
     /// # Errors
-    /// A record's own failure.
+    /// The error of an entry that could not be applied.
     pub fn promote(&mut self, term: Term) -> Result<(), Rejection> {
         if self.rebuilding || !self.log.is_promotable(term) {
             return Ok(());
@@ -145,8 +152,8 @@
         Ok(())
     }
 
-    /// Takes an offer; where applied records are cut off, the database must be
-    /// rebuilt.
+    /// Appends a batch to the log; if applied entries are truncated, also returns the
+    /// rebuild of the database.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -168,16 +175,20 @@
         self.generation += 1;
         self.rebuilding = true;
         let entries = self.log.entries()[..kept.0 as usize].to_vec();
-        Rebuild { generation: self.generation, path: path(&self.folder, self.generation), entries }
+        Rebuild {
+            generation: self.generation,
+            path: database_path(&self.folder, self.generation),
+            entries,
+        }
     }
 
-    /// A rebuild that a crash kept from its end, to be done from the start.
+    /// A rebuild to replace one that a crash interrupted, if any.
     pub fn unfinished_rebuild(&mut self) -> Option<Rebuild> {
         let last = self.log.last().position;
         self.rebuilding.then(|| self.rebuild(last))
     }
 
-    /// Takes a database that was rebuilt; one that is out of date is dropped.
+    /// Installs a rebuilt database; one of an outdated generation is dropped.
     pub fn finish_rebuild(&mut self, generation: u64, writer: Connection, position: Position) {
         if generation != self.generation {
             return;
@@ -187,10 +198,11 @@
         self.log.apply(position);
     }
 
-    /// Applies what has been held for `lag`; returns when more falls due.
+    /// Applies the entries received at least `lag` ago; returns the time at which the
+    /// next ones are due.
     ///
     /// # Errors
-    /// A record's own failure.
+    /// The error of an entry that could not be applied.
     pub fn apply_due(&mut self, now: Instant, lag: Duration) -> Result<Option<Instant>, Rejection> {
         if self.rebuilding {
             return Ok(None);
@@ -218,13 +230,13 @@
     }
 }
 
-fn path(folder: &Path, generation: u64) -> PathBuf {
+fn database_path(folder: &Path, generation: u64) -> PathBuf {
     folder.join(format!("{generation}.sqlite"))
 }
 
-fn replay(writer: &Connection, writes: &[Write]) -> Result<(), Rejection> {
+fn replay(connection: &Connection, writes: &[Write]) -> Result<(), Rejection> {
     for write in writes {
-        if sqlite::run(writer, &write.statement)? != write.output {
+        if sqlite::run(connection, &write.statement)? != write.output {
             let message = "could not serialize access due to concurrent update";
             return Err(Rejection::new(SqlState::Serialization, message));
         }
@@ -232,21 +244,21 @@
     Ok(())
 }
 
-/// Runs entries in one transaction of SQLite.
+/// Applies entries in a single SQLite transaction.
 ///
 /// # Errors
-/// A statement's own; then none of the entries has run.
-pub fn apply_entries(writer: &Connection, entries: &[Arc<Entry>]) -> Result<(), Rejection> {
+/// The error of a statement; then none of the entries is applied.
+pub fn apply_entries(connection: &Connection, entries: &[Arc<Entry>]) -> Result<(), Rejection> {
     if entries.is_empty() {
         return Ok(());
     }
-    writer.execute_batch("BEGIN IMMEDIATE")?;
+    connection.execute_batch("BEGIN IMMEDIATE")?;
     for statement in entries.iter().flat_map(|entry| &entry.statements) {
-        if let Err(rejection) = sqlite::run(writer, statement) {
-            writer.execute_batch("ROLLBACK")?;
+        if let Err(rejection) = sqlite::run(connection, statement) {
+            connection.execute_batch("ROLLBACK")?;
             return Err(rejection);
         }
     }
-    writer.execute_batch("COMMIT")?;
+    connection.execute_batch("COMMIT")?;
     Ok(())
 }
--- a/components/standin/src/transaction.rs
+++ b/components/standin/src/transaction.rs
@@ -1,33 +1,34 @@
-//! An open transaction.
+//! State of an open transaction.
 //!
-//! Transactions are optimistic: between its statements a transaction holds no
-//! lock. Each statement runs upon the writes that came before it and is then
-//! undone; the commit runs all writes again and fails with a serialization
-//! failure where one has another result than the caller was told.
+//! Transactions are optimistic: a transaction holds no lock between its statements.
+//! Each statement runs after the replayed earlier writes of the transaction, and all
+//! are then rolled back. The commit replays all writes, and fails with a
+//! serialization failure if one has another result than the client received.
 
 use base::prelude::*;
 
 use crate::log::Statement;
 use crate::sqlite::Output;
 
-/// A write that was tried.
+/// A write that ran and was rolled back, to be replayed at commit.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// The statement.
+    /// Statement to replay.
     pub statement: Statement,
-    /// What the caller was told.
+    /// Result that the client received.
     pub output: Output,
 }
 
 /// An open transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
-    /// Whether the caller opened it; else it ends with the cycle.
+    /// Whether `BEGIN` opened the transaction; an implicit one ends with the query
+    /// cycle.
     pub explicit: bool,
-    /// Whether a statement failed.
+    /// Whether a statement has failed since the last savepoint rollback.
     pub failed: bool,
-    /// Term of the primary that it writes on.
+    /// Term of the primary at the first write.
     pub term: Option<Term>,
-    /// Its writes so far.
+    /// Writes so far, in order.
     pub writes: Vec<Write>,
 }
--- a/components/standin/src/value.rs
+++ b/components/standin/src/value.rs
@@ -1,13 +1,13 @@
-//! Values, their PostgreSQL types, and both encodings.
+//! Values with their PostgreSQL types, and the text and binary encodings.
 
 use base::prelude::*;
 
 use crate::failure::{Rejection, SqlState};
 
-/// A value as the database holds it.
+/// A value as SQLite stores it.
 pub type Value = rusqlite::types::Value;
 
-/// A PostgreSQL type that the stand-in knows.
+/// A PostgreSQL type that the stand-in supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumIter)]
 pub enum Kind {
     /// `bool`
@@ -31,7 +31,7 @@
 }
 
 impl Kind {
-    /// Its object id.
+    /// OID of the type.
     pub const fn oid(self) -> u32 {
         match self {
             Self::Bool => 16,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Its length in bytes, -1 where it varies.
+    /// Length of the type in bytes, -1 if variable.
     pub const fn size(self) -> i16 {
         match self {
             Self::Bool => 1,
@@ -57,13 +57,14 @@
         }
     }
 
-    /// The type of an object id; unknown ones are taken as text.
+    /// The type with an OID; text if the OID is unknown.
     pub fn from_oid(oid: u32) -> Self {
         use strum::IntoEnumIterator;
         Self::iter().find(|kind| kind.oid() == oid).unwrap_or(Self::Text)
     }
 
-    /// The type of a column that was declared so.
+    /// The type of a column by its SQL declaration; text if the declaration is
+    /// unknown.
     pub fn from_declaration(declared: &str) -> Self {
         let word = declared.to_ascii_lowercase();
         let word = word.split(['(', ' ']).next().unwrap_or_default();
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The type that a value of no declared column has.
+    /// The type of a value whose column has no declared type.
     pub fn from_value(value: &Value) -> Self {
         match value {
             Value::Integer(_) => Self::Int8,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Encodes a value for a row; `None` is null.
+/// Encodes a value for a `DataRow`; `None` stands for null.
 pub fn encode(value: &Value, kind: Kind, binary: bool) -> Option<Vec<u8>> {
     if matches!(value, Value::Null) {
         return None;
@@ -106,11 +107,11 @@
         (Value::Integer(number), _) => number.to_string(),
         (Value::Real(number), _) => number.to_string(),
         (Value::Text(text), _) => text.clone(),
-        (Value::Blob(bytes), _) => hex(bytes),
+        (Value::Blob(bytes), _) => encode_hex(bytes),
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     use std::fmt::Write;
     bytes.iter().fold("\\x".to_owned(), |mut text, byte| {
         write!(text, "{byte:02x}").expect("writing to a String cannot fail");
@@ -152,10 +153,10 @@
     }
 }
 
-/// Decodes a parameter.
+/// Decodes the value of a parameter; no bytes stand for null.
 ///
 /// # Errors
-/// [`SqlState::InvalidValue`] when the bytes are no value of the type.
+/// [`SqlState::InvalidValue`] if the bytes are no valid value of the type.
 pub fn decode(bytes: Option<&[u8]>, kind: Kind, binary: bool) -> Result<Value, Rejection> {
     let Some(bytes) = bytes else {
         return Ok(Value::Null);
@@ -186,12 +187,12 @@
 
 fn decode_binary(bytes: &[u8], kind: Kind) -> Result<Value, Rejection> {
     Ok(match kind {
-        Kind::Bool => Value::Integer(i64::from(u8::from_be_bytes(exact(bytes, kind)?) != 0)),
-        Kind::Int2 => Value::Integer(i64::from(i16::from_be_bytes(exact(bytes, kind)?))),
-        Kind::Int4 => Value::Integer(i64::from(i32::from_be_bytes(exact(bytes, kind)?))),
-        Kind::Int8 => Value::Integer(i64::from_be_bytes(exact(bytes, kind)?)),
-        Kind::Float4 => Value::Real(f64::from(f32::from_be_bytes(exact(bytes, kind)?))),
-        Kind::Float8 => Value::Real(f64::from_be_bytes(exact(bytes, kind)?)),
+        Kind::Bool => Value::Integer(i64::from(u8::from_be_bytes(to_array(bytes, kind)?) != 0)),
+        Kind::Int2 => Value::Integer(i64::from(i16::from_be_bytes(to_array(bytes, kind)?))),
+        Kind::Int4 => Value::Integer(i64::from(i32::from_be_bytes(to_array(bytes, kind)?))),
+        Kind::Int8 => Value::Integer(i64::from_be_bytes(to_array(bytes, kind)?)),
+        Kind::Float4 => Value::Real(f64::from(f32::from_be_bytes(to_array(bytes, kind)?))),
+        Kind::Float8 => Value::Real(f64::from_be_bytes(to_array(bytes, kind)?)),
         Kind::Text | Kind::Varchar => {
             let text = str::from_utf8(bytes).map_err(|_ignored| invalid(kind))?;
             Value::Text(text.to_owned())
@@ -200,11 +201,11 @@
     })
 }
 
-fn exact<const N: usize>(bytes: &[u8], kind: Kind) -> Result<[u8; N], Rejection> {
+fn to_array<const N: usize>(bytes: &[u8], kind: Kind) -> Result<[u8; N], Rejection> {
     bytes.try_into().map_err(|_ignored| invalid(kind))
 }
 
-/// The report's columns as a row of values.
+/// Converts a status report to a row, in the order of `backend::sql::COLUMNS`.
 pub fn status_row(status: &Status) -> Vec<Value> {
     let number = |number: u64| Value::Integer(number.cast_signed());
     vec![
--- a/components/standin/tests/failover.rs
+++ b/components/standin/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Writes that a majority held, over failovers.
+//! Failovers under load lose no write that a majority of servers held, and apply no
+//! write twice.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 const ROUNDS: u64 = 8;
 const WRITERS: u64 = 6;
 const SEED: u64 = 11;
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 struct World {
     group: Group,
@@ -44,7 +45,8 @@
     })
 }
 
-// a write counts once a majority reports it in its own term
+// a write is acknowledged once a majority, the primary among them, reports its entry
+// in the term in which it was written
 async fn write(world: &World, client: &Client) -> Option<()> {
     let id = world.next.fetch_add(1, Ordering::Relaxed);
     client.simple_query(&format!("INSERT INTO tags VALUES ({id})")).await.ok()?;
@@ -52,8 +54,8 @@
     let mark = Mark::new(mark[0], mark[1]);
     for _ in 0..100 {
         let statuses = world.group.statuses();
-        let led = statuses.iter().any(|s| s.role == Role::Primary && s.holds(mark));
-        if led && statuses.iter().filter(|status| status.holds(mark)).count() >= 2 {
+        let primary_holds = statuses.iter().any(|s| s.role == Role::Primary && s.holds(mark));
+        if primary_holds && statuses.iter().filter(|status| status.holds(mark)).count() >= 2 {
             world.acked.lock().unwrap().insert(id);
             return Some(());
         }
@@ -77,10 +79,11 @@
 }
 
 async fn probe(address: SocketAddr) -> Probe {
-    Probe::connect(address, PATIENCE).await.unwrap()
+    Probe::connect(address, TIMEOUT).await.unwrap()
 }
 
-// fences all but the primary, promotes the one with the longest log
+// fences all servers but the old primary, promotes the one with the longest log,
+// and makes the others follow it
 async fn fail_over(world: &World, term: Term) {
     let old = *world.primary.lock().unwrap();
     let mut fenced = Vec::new();
@@ -90,8 +93,9 @@
     fenced.sort_unstable();
     let (_, chosen) = fenced.pop().unwrap();
     let mut promoted = probe(chosen).await;
-    // one that still rebuilds after an earlier rewind leads once that is done
-    let leads = async {
+    // a server that still rebuilds its database after an earlier rewind becomes
+    // primary once that is complete
+    let promotion = async {
         loop {
             let status = promoted.promote(term).await.unwrap();
             assert_eq!(status.term, term);
@@ -100,7 +104,7 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, leads).await.expect("it leads");
+    tokio::time::timeout(TIMEOUT, promotion).await.expect("the chosen server becomes primary");
     for (_, address) in fenced {
         probe(address).await.follow(term, chosen).await.unwrap();
     }
@@ -152,7 +156,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, settled).await.unwrap();
+    tokio::time::timeout(TIMEOUT, settled).await.unwrap();
     let acked = world.acked.lock().unwrap().clone();
     assert!(!acked.is_empty());
     for address in world.group.servers() {
@@ -166,8 +170,8 @@
             })
             .collect();
         let unique: BTreeSet<_> = ids.iter().copied().collect();
-        assert_eq!(unique.len(), ids.len(), "a write ran twice");
+        assert_eq!(unique.len(), ids.len(), "a write was applied twice");
         let lost: Vec<_> = acked.difference(&unique).collect();
-        assert!(lost.is_empty(), "lost {lost:?}");
+        assert!(lost.is_empty(), "lost acknowledged writes {lost:?}");
     }
 }
--- a/components/standin/tests/group.rs
+++ b/components/standin/tests/group.rs
@@ -1,4 +1,4 @@
-//! Replication, terms and faults of a group, as its clients see them.
+//! Replication, terms and faults of a group, as observed by its clients.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use standin::{Fault, Group, Settings};
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn settings(settled: bool) -> Settings {
     let name = Name::new("entries-1").unwrap();
@@ -28,7 +28,7 @@
 }
 
 async fn probe(address: SocketAddr) -> Probe {
-    Probe::connect(address, PATIENCE).await.unwrap()
+    Probe::connect(address, TIMEOUT).await.unwrap()
 }
 
 async fn value(client: &Client, query: &str) -> String {
@@ -51,8 +51,8 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let reached = tokio::time::timeout(PATIENCE, reached).await;
-    reached.unwrap_or_else(|_elapsed| panic!("not reached: {:#?}", group.statuses()));
+    let reached = tokio::time::timeout(TIMEOUT, reached).await;
+    reached.unwrap_or_else(|_elapsed| panic!("state not reached: {:#?}", group.statuses()));
 }
 
 fn alike(statuses: &[Status]) -> bool {
@@ -109,7 +109,7 @@
         probe(primary).await.fence(Term(2)).await.unwrap().received
     };
     let (written, fenced) = tokio::join!(futures::future::join_all(writers), fence);
-    // the start of the term and the table come before the rows
+    // the entries that start the term and create the table precede the rows
     assert_eq!(fenced.0, 2 + written.iter().sum::<u64>());
     assert_eq!(group.statuses()[0].received, fenced);
     group.stop().await;
@@ -137,7 +137,7 @@
     until(&group, alike).await;
     let status = probe(old).await.status(0, Duration::ZERO).await.unwrap();
     assert_eq!(status.history.to_string(), "1:0,2:3");
-    assert!(client.simple_query("SELECT 1").await.is_err(), "a rewind ends data sessions");
+    assert!(client.simple_query("SELECT 1").await.is_err(), "a rewind must end data sessions");
     assert_eq!(value(&connect(old).await, "SELECT id FROM tags").await, "1,3");
     group.stop().await;
 }
@@ -150,7 +150,7 @@
     client.simple_query("CREATE TABLE tags (id bigint)").await.unwrap();
     group.inject(Fault::PrimaryCrash).await.unwrap();
     assert!(client.simple_query("SELECT 1").await.is_err());
-    let refused = Probe::connect(before[0], PATIENCE).await.unwrap_err();
+    let refused = Probe::connect(before[0], TIMEOUT).await.unwrap_err();
     assert_eq!(*refused.current_context(), backend::Failure::Refused);
     group.inject(Fault::Heal).await.unwrap();
     assert_eq!(group.servers(), before);
@@ -168,7 +168,7 @@
     let known = watcher.status(0, Duration::ZERO).await.unwrap();
     let client = connect(primary).await;
     let write = client.simple_query("CREATE TABLE tags (id bigint)");
-    let (changed, written) = tokio::join!(watcher.status(known.version, PATIENCE), write);
+    let (changed, written) = tokio::join!(watcher.status(known.version, TIMEOUT), write);
     written.unwrap();
     assert!(changed.unwrap().received > known.received);
     group.stop().await;
--- a/components/standin/tests/log.rs
+++ b/components/standin/tests/log.rs
@@ -1,4 +1,5 @@
-//! The replication log under any order of orders, copies and commits.
+//! Fuzz test of the replication log: fences, promotions, batches, commits and
+//! restarts in any order keep the logs of a group consistent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 const SERVERS: usize = 3;
 const STEPS: usize = 120;
 const SCHEDULES: u64 = 300;
-// random bytes of a schedule: the lower half of a seed of arbtest
+// random bytes of a schedule, the lower half of an arbtest seed
 const BYTES: u64 = 4_096;
 
 fn address(server: usize) -> SocketAddr {
@@ -22,16 +23,16 @@
 struct World {
     logs: Vec<Log>,
     written: u64,
-    // statements that each entry was written with
+    // statement of each entry as it was written
     oracle: BTreeMap<(Term, Position), String>,
-    // offers under way: receiver, term, primary
-    offers: Vec<(usize, Term, usize, Batch)>,
+    // batches in flight: receiver, term, primary, batch
+    batches: Vec<(usize, Term, usize, Batch)>,
 }
 
 impl World {
     fn new() -> Self {
         let logs = (0..SERVERS).map(|_| Log::new()).collect();
-        Self { logs, written: 0, oracle: BTreeMap::new(), offers: Vec::new() }
+        Self { logs, written: 0, oracle: BTreeMap::new(), batches: Vec::new() }
     }
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
@@ -43,13 +44,13 @@
             1 => self.promote(server, term),
             2 | 11 => self.follow(server, other),
             3 | 4 | 12 => self.write(server),
-            5 | 6 => self.offer(server),
+            5 | 6 => self.send_batch(server),
             7 => self.receive(u)?,
             8 => self.logs[server].apply(Position(u.int_in_range(0..=self.written)?)),
             9 => self.logs[server].restart(),
             10 => self.failover(server, u)?,
             _ => {
-                self.offer(server);
+                self.send_batch(server);
                 self.receive(u)?;
             }
         }
@@ -61,13 +62,13 @@
         self.logs[server].fence(term);
         let log = &self.logs[server];
         assert_eq!(log.term(), before.term().max(term));
-        assert_eq!(log.last(), before.last(), "a fence changes no record");
+        assert_eq!(log.last(), before.last(), "a fence must not change the log");
         if term > before.term() {
             assert_eq!((log.role(), log.following()), (Role::Replica, None));
         }
     }
 
-    // control promotes one server of a term, after a majority was fenced
+    // control promotes at most one server per term, after a majority was fenced
     fn promote(&mut self, server: usize, term: Term) {
         let taken = self.oracle.keys().any(|(known, _)| *known == term);
         let log = &mut self.logs[server];
@@ -86,7 +87,7 @@
         }
     }
 
-    // as control does it; some servers may miss the orders
+    // a failover as control runs it; some servers may miss the `follow`
     fn failover(&mut self, chosen: usize, u: &mut Unstructured<'_>) -> Result<()> {
         let highest = self.logs.iter().map(Log::term).max().unwrap_or_default();
         let term = Term(highest.0 + 1);
@@ -123,35 +124,35 @@
         assert!(self.oracle.insert((mark.term, mark.position), sql).is_none());
     }
 
-    fn offer(&mut self, server: usize) {
+    fn send_batch(&mut self, server: usize) {
         let log = &self.logs[server];
         let Some(followed) = log.following() else {
             return;
         };
         let primary = usize::from(followed.port()) - 1;
-        let offer =
+        let batch =
             self.logs[primary].next_batch(log.term(), log.term_starts(), log.last().position);
-        if let Some(offer) = offer {
-            self.offers.push((server, log.term(), primary, offer));
+        if let Some(batch) = batch {
+            self.batches.push((server, log.term(), primary, batch));
         }
     }
 
-    // an offer may come late, or twice
+    // a batch may arrive late, or twice
     fn receive(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.offers.is_empty() {
+        if self.batches.is_empty() {
             return Ok(());
         }
-        let at = u.choose_index(self.offers.len())?;
-        let (server, term, primary, offer) = self.offers[at].clone();
+        let at = u.choose_index(self.batches.len())?;
+        let (server, term, primary, batch) = self.batches[at].clone();
         let (joined, before) = (self.logs[server].term(), self.logs[server].last());
-        self.logs[server].receive(term, address(primary), &offer);
+        self.logs[server].receive(term, address(primary), &batch);
         let log = &self.logs[server];
-        assert_eq!(log.term(), joined, "a copy changes no term");
-        assert!(term == joined || log.last() == before, "nothing is copied from another term");
+        assert_eq!(log.term(), joined, "a batch must not change the term");
+        assert!(term == joined || log.last() == before, "a batch of another term must be ignored");
         let shrunk = before.term == joined && log.last() < before;
-        assert!(!shrunk, "what was kept in its own term stays");
+        assert!(!shrunk, "a batch must not truncate entries of its own term");
         if u.ratio(9, 10)? {
-            self.offers.swap_remove(at);
+            self.batches.swap_remove(at);
         }
         Ok(())
     }
@@ -180,7 +181,7 @@
         self.check_alike();
     }
 
-    // entries of one term at one position end the same log
+    // logs with an entry of the same term at the same position are identical up to it
     fn check_alike(&self) {
         for (one, other) in [(0, 1), (0, 2), (1, 2)] {
             let (one, other) = (self.logs[one].entries(), self.logs[other].entries());
--- a/components/standin/tests/session.rs
+++ b/components/standin/tests/session.rs
@@ -1,4 +1,4 @@
-//! Statements, transactions and parameters, as a client library uses them.
+//! Statements, transactions and parameters, through a PostgreSQL client library.
 
 use base::prelude::*;
 use standin::{Group, Settings};
