--- a/components/standin/src/failure.rs
+++ b/components/standin/src/failure.rs
@@ -1,96 +1,97 @@
-//! What a server answers instead of a result, and why a group fails to start.
+//! Errors of statements, with their SQLSTATE, and failures of a group.
 
 use std::fmt;
 
-/// A failure of the group as a whole.
+/// Why a group could not start or a fault could not be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// A server's name would not be valid.
+    /// The name of a server, made from the group's name and a number, is invalid.
     Name,
-    /// No listener on loopback could be opened.
+    /// A server could not listen on the loopback address.
     Listen,
-    /// The folder of the databases could not be made.
+    /// The folder of the databases could not be created.
     Folder,
-    /// A database could not be opened.
+    /// An SQLite database could not be opened.
     Database,
-    /// No server of the group is in the state that the fault needs.
+    /// The group has no primary, or no server of the number that the fault names.
     Fault,
 }
 
 impl std::error::Error for Failure {}
 
-/// SQLSTATE classes that a server answers with.
+/// SQLSTATE error conditions that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
-    /// A unique key is taken.
-    Unique,
-    /// A column may not be null.
-    NotNull,
-    /// A foreign key is missing.
-    ForeignKey,
-    /// A check failed.
-    Check,
-    /// No such table.
+pub enum SqlState {
+    /// A row with the same unique key exists.
+    UniqueViolation,
+    /// A value of a `NOT NULL` column is null.
+    NotNullViolation,
+    /// A foreign key refers to no row.
+    ForeignKeyViolation,
+    /// A `CHECK` constraint is violated.
+    CheckViolation,
+    /// The table does not exist.
     UndefinedTable,
-    /// The table exists.
+    /// The table exists already.
     DuplicateTable,
-    /// No such column.
+    /// The column does not exist.
     UndefinedColumn,
-    /// No such function.
+    /// The function does not exist.
     UndefinedFunction,
-    /// The statement can't be read.
+    /// The statement could not be parsed or prepared.
     Syntax,
-    /// The server takes no writes.
+    /// The server accepts no writes, since it is not the primary.
     ReadOnly,
-    /// The transaction has failed; only its end is accepted.
-    InFailed,
-    /// The transaction's results do not hold any more.
+    /// The transaction has failed; only its end or a rollback to a savepoint is
+    /// accepted.
+    FailedTransaction,
+    /// Concurrent commits changed a result that the transaction has returned.
     Serialization,
-    /// No connection is free.
-    TooMany,
-    /// The statement was cancelled.
+    /// The connection limit is reached.
+    TooManyConnections,
+    /// A cancel request stopped the statement.
     Cancelled,
-    /// The server does not offer this.
+    /// The server does not support the statement or message.
     Unsupported,
-    /// No such prepared statement.
+    /// The prepared statement does not exist.
     UndefinedStatement,
-    /// No such portal.
+    /// The portal does not exist.
     UndefinedPortal,
-    /// A value can't be read.
-    Value,
-    /// The messages break the protocol.
-    Protocol,
-    /// The database is being rebuilt.
+    /// A parameter value is invalid for its type.
+    InvalidValue,
+    /// A message violates the protocol.
+    ProtocolViolation,
+    /// The database is being rebuilt and can't be read yet.
     Starting,
     /// The server is shutting down or restarting.
     Shutdown,
-    /// Anything else.
+    /// Any other error.
     Internal,
 }
 
-impl State {
-    /// The five characters.
+impl SqlState {
+    /// Five-character SQLSTATE code.
     pub const fn code(self) -> &'static str {
         match self {
-            Self::Unique => "23505",
-            Self::NotNull => "23502",
-            Self::ForeignKey => "23503",
-            Self::Check => "23514",
+            Self::UniqueViolation => "23505",
+            Self::NotNullViolation => "23502",
+            Self::ForeignKeyViolation => "23503",
+            Self::CheckViolation => "23514",
             Self::UndefinedTable => "42P01",
             Self::DuplicateTable => "42P07",
             Self::UndefinedColumn => "42703",
             Self::UndefinedFunction => "42883",
             Self::Syntax => "42601",
             Self::ReadOnly => "25006",
-            Self::InFailed => "25P02",
+            Self::FailedTransaction => "25P02",
             Self::Serialization => "40001",
-            Self::TooMany => "53300",
+            Self::TooManyConnections => "53300",
             Self::Cancelled => "57014",
             Self::Unsupported => "0A000",
             Self::UndefinedStatement => "26000",
             Self::UndefinedPortal => "34000",
-            Self::Value => "22P02",
-            Self::Protocol => "08P01",
+            Self::InvalidValue => "22P02",
+            Self::ProtocolViolation => "08P01",
             Self::Starting => "57P03",
             Self::Shutdown => "57P01",
             Self::Internal => "XX000",
@@ -98,24 +99,24 @@
     }
 }
 
-/// An error that a statement is answered with.
+/// An error that is reported to the client in an `ErrorResponse`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
-    /// Its SQLSTATE.
-    pub state: State,
-    /// Its message.
+    /// SQLSTATE of the error.
+    pub state: SqlState,
+    /// Message text of the error.
     pub message: String,
 }
 
 impl Rejection {
-    /// Makes a rejection.
-    pub fn new(state: State, message: impl Into<String>) -> Self {
+    /// Creates an error from its SQLSTATE and message.
+    pub fn new(state: SqlState, message: impl Into<String>) -> Self {
         Self { state, message: message.into() }
     }
 
-    /// The rejection of a write by a server that takes none.
+    /// The error of a write on a server that is not the primary.
     pub fn read_only() -> Self {
-        Self::new(State::ReadOnly, "cannot execute a write on a read-only server")
+        Self::new(SqlState::ReadOnly, "cannot execute a write on a read-only server")
     }
 }
 
@@ -130,26 +131,26 @@
 impl From<rusqlite::Error> for Rejection {
     fn from(error: rusqlite::Error) -> Self {
         let message = error.to_string();
-        Self::new(state(&error, &message), message)
+        Self::new(sql_state(&error, &message), message)
     }
 }
 
-fn state(error: &rusqlite::Error, message: &str) -> State {
+fn sql_state(error: &rusqlite::Error, message: &str) -> SqlState {
     use rusqlite::ffi;
     let extended = error.sqlite_error().map_or(0, |error| error.extended_code);
     match extended {
         ffi::SQLITE_CONSTRAINT_UNIQUE
         | ffi::SQLITE_CONSTRAINT_PRIMARYKEY
-        | ffi::SQLITE_CONSTRAINT_ROWID => State::Unique,
-        ffi::SQLITE_CONSTRAINT_NOTNULL => State::NotNull,
-        ffi::SQLITE_CONSTRAINT_FOREIGNKEY => State::ForeignKey,
-        ffi::SQLITE_CONSTRAINT_CHECK => State::Check,
-        ffi::SQLITE_READONLY => State::ReadOnly,
-        _ if message.contains("no such table") => State::UndefinedTable,
-        _ if message.contains("already exists") => State::DuplicateTable,
-        _ if message.contains("no such column") => State::UndefinedColumn,
-        _ if message.contains("no such function") => State::UndefinedFunction,
-        ffi::SQLITE_ERROR => State::Syntax,
-        _ => State::Internal,
+        | ffi::SQLITE_CONSTRAINT_ROWID => SqlState::UniqueViolation,
+        ffi::SQLITE_CONSTRAINT_NOTNULL => SqlState::NotNullViolation,
+        ffi::SQLITE_CONSTRAINT_FOREIGNKEY => SqlState::ForeignKeyViolation,
+        ffi::SQLITE_CONSTRAINT_CHECK => SqlState::CheckViolation,
+        ffi::SQLITE_READONLY => SqlState::ReadOnly,
+        _ if message.contains("no such table") => SqlState::UndefinedTable,
+        _ if message.contains("already exists") => SqlState::DuplicateTable,
+        _ if message.contains("no such column") => SqlState::UndefinedColumn,
+        _ if message.contains("no such function") => SqlState::UndefinedFunction,
+        ffi::SQLITE_ERROR => SqlState::Syntax,
+        _ => SqlState::Internal,
     }
 }
--- a/components/standin/src/log.rs
+++ b/components/standin/src/log.rs
@@ -1,9 +1,9 @@
-//! The replication log of one server, and the terms that rule it.
+//! Replication log of a server, with its term and role.
 //!
-//! Each promotion appends an entry that starts its term, so two logs that hold
-//! an entry of the same term at the same position are alike up to there. The
-//! host executes entries and carries them between servers; nothing here knows
-//! of sockets or of SQLite.
+//! Each promotion appends an entry that starts its term, so two logs that hold an
+//! entry of the same term at the same position are identical up to that position.
+//! This module does no I/O: the host applies entries to SQLite and transfers them
+//! between servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,56 +12,57 @@
 
 use crate::value::Value;
 
-/// Entries that one offer carries at most.
-pub const OFFER_ENTRIES: usize = 1_024;
+/// Largest number of entries in a batch.
+pub const MAX_BATCH_ENTRIES: usize = 1_024;
 
-/// One statement of a transaction that committed.
+/// A statement of a committed transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    /// Its text.
+    /// SQL text.
     pub sql: String,
-    /// Values of `$1`, `$2` and so on.
+    /// Values of the parameters `$1`, `$2` and so on.
     pub values: Vec<Value>,
 }
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Term in which it was written.
+    /// Term in which the entry was written.
     pub term: Term,
-    /// Statements of one transaction; none where a term starts.
+    /// Statements of one transaction; empty in the entry that starts a term.
     pub statements: Vec<Statement>,
 }
 
-/// What a primary offers to a replica.
+/// Entries that a primary sends to a replica, as Raft's `AppendEntries` does.
 #[derive(Clone, Debug)]
-pub struct Offer {
-    /// Last position up to which both logs are alike.
-    pub agreed: Position,
-    /// Entries that follow it, in order.
+pub struct Batch {
+    /// Last position up to which the two logs match.
+    pub match_position: Position,
+    /// Entries that follow `match_position`, in order.
     pub entries: Vec<Arc<Entry>>,
 }
 
-/// What became of an offer.
+/// How a replica handled a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// The server has gone on to another term or primary.
+    /// The batch was ignored: the server follows another term or primary, or lacks
+    /// entries before the batch.
     Refused,
-    /// The log now ends with the offer's last entry.
-    Kept,
-    /// As [`Receipt::Kept`], and entries that were applied have been cut off.
+    /// The log now holds all entries of the batch.
+    Appended,
+    /// As [`Receipt::Appended`], and entries that had been applied were truncated.
     Rewound,
 }
 
-/// The log, term and role of one server.
+/// Log, term and role of a server.
 #[derive(Clone, Debug)]
 pub struct Log {
     term: Term,
     role: Role,
     following: Option<SocketAddr>,
     entries: Vec<Arc<Entry>>,
-    // where each term of the log begins, as in a history, but never trimmed
-    runs: Vec<Mark>,
+    // the terms in the log and where they begin, as in a history, but never trimmed
+    term_starts: Vec<Mark>,
     applied: Position,
     version: u64,
 }
@@ -73,7 +74,7 @@
             role: Role::Replica,
             following: None,
             entries: Vec::new(),
-            runs: Vec::new(),
+            term_starts: Vec::new(),
             applied: Position(0),
             version: 1,
         }
@@ -81,69 +82,70 @@
 }
 
 impl Log {
-    /// Makes the empty log of a replica that has joined no term.
+    /// Creates the empty log of a replica that has joined no term.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Highest term joined.
+    /// Highest term that the server has joined.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Part played at present.
+    /// Present role of the server.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The primary that is copied, if one is.
+    /// Address of the primary that the server replicates from.
     pub fn following(&self) -> Option<SocketAddr> {
         self.following
     }
 
-    /// Last record.
+    /// Term and position of the last entry.
     pub fn last(&self) -> Mark {
         let term = self.entries.last().map_or(Term(0), |entry| entry.term);
         Mark { term, position: Position(self.entries.len() as u64) }
     }
 
-    /// Last record that reads see.
+    /// Term and position of the last applied entry, the last that reads see.
     pub fn applied(&self) -> Mark {
         let index = (self.applied.0 as usize).checked_sub(1);
         let term = index.map_or(Term(0), |index| self.entries[index].term);
         Mark { term, position: self.applied }
     }
 
-    /// Raised by each change.
+    /// Version of the log, incremented by each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Where each term of the log begins.
-    pub fn runs(&self) -> &[Mark] {
-        &self.runs
+    /// Terms in the log, each with the position after which its entries begin.
+    pub fn term_starts(&self) -> &[Mark] {
+        &self.term_starts
     }
 
-    /// The same, in the form of a report.
+    /// Terms of the log as the history of a status report.
     pub fn history(&self) -> History {
         let mut history = History::default();
-        for run in &self.runs {
-            history.begin(run.term, run.position);
+        for start in &self.term_starts {
+            history.begin(start.term, start.position);
         }
         history
     }
 
-    /// All entries.
+    /// All entries, oldest first.
     pub fn entries(&self) -> &[Arc<Entry>] {
         &self.entries
     }
 
-    /// Entries that reads do not see yet, oldest first.
+    /// Entries that are not applied yet, oldest first; reads do not see them.
     pub fn pending(&self) -> &[Arc<Entry>] {
         &self.entries[self.applied.0 as usize..]
     }
 
-    /// Joins `term` without a primary; a term joined already changes nothing.
+    /// Joins a higher term as a replica that follows no primary; does nothing at a
+    /// term that is not higher than the server's.
     pub fn fence(&mut self, term: Term) {
         if term <= self.term {
             return;
@@ -154,19 +156,20 @@
         self.version += 1;
     }
 
-    /// Whether [`Log::promote`] at `term` would make this server the primary
-    /// once nothing is pending.
-    pub fn promotable(&self, term: Term) -> bool {
+    /// Whether [`Log::promote`] at `term` would make this server the primary once no
+    /// entry is pending.
+    pub fn is_promotable(&self, term: Term) -> bool {
         term == self.term
             && term > self.last().term
             && self.role == Role::Replica
             && self.following.is_none()
     }
 
-    /// Makes a server fenced at exactly `term` its primary and starts the term
-    /// with an entry; changes nothing elsewhere, or while entries are pending.
+    /// Makes a server that is fenced at exactly `term` the primary, and appends the
+    /// entry that starts the term. Does nothing in any other state, or while entries
+    /// are pending.
     pub fn promote(&mut self, term: Term) {
-        if !self.promotable(term) || !self.pending().is_empty() {
+        if !self.is_promotable(term) || !self.pending().is_empty() {
             return;
         }
         self.role = Role::Primary;
@@ -175,12 +178,12 @@
         self.version += 1;
     }
 
-    /// Copies from the primary of `term` from now on; changes nothing at a
-    /// higher term, or at the primary of that term.
+    /// Makes the server replicate from the primary of `term`; does nothing if the
+    /// server is at a higher term or is itself the primary of `term`.
     pub fn follow(&mut self, term: Term, primary: SocketAddr) {
-        let leads = term == self.term && self.role == Role::Primary;
-        let same = term == self.term && self.following == Some(primary);
-        if term < self.term || leads || same {
+        let is_primary = term == self.term && self.role == Role::Primary;
+        let is_followed = term == self.term && self.following == Some(primary);
+        if term < self.term || is_primary || is_followed {
             return;
         }
         self.term = term;
@@ -189,15 +192,15 @@
         self.version += 1;
     }
 
-    /// Follows nobody any more, as after a restart; a primary becomes a
-    /// replica of the term it knows.
+    /// Resets the role as a process restart does: the server is a replica that
+    /// follows no primary, and keeps its term.
     pub fn restart(&mut self) {
         self.role = Role::Replica;
         self.following = None;
         self.version += 1;
     }
 
-    /// Appends a transaction that is applied already; `None` on a replica.
+    /// Appends a transaction that has been applied; `None` on a replica.
     pub fn append(&mut self, statements: Vec<Statement>) -> Option<Mark> {
         if self.role != Role::Primary {
             return None;
@@ -208,33 +211,34 @@
         Some(self.last())
     }
 
-    /// What the primary of `term` sends to a replica whose log begins its
-    /// terms at `runs` and ends at `last`; `None` where this server is no
-    /// such primary.
-    pub fn offer(&self, term: Term, runs: &[Mark], last: Position) -> Option<Offer> {
+    /// Next entries that the primary of `term` sends to a replica whose log has the
+    /// terms `term_starts` and ends at `last`; `None` if this server is not the
+    /// primary of `term`.
+    pub fn next_batch(&self, term: Term, term_starts: &[Mark], last: Position) -> Option<Batch> {
         if self.role != Role::Primary || self.term != term {
             return None;
         }
-        let agreed = self.agreed(runs, last);
-        let from = agreed.0 as usize;
-        let until = self.entries.len().min(from + OFFER_ENTRIES);
-        Some(Offer { agreed, entries: self.entries[from..until].to_vec() })
+        let match_position = self.match_position(term_starts, last);
+        let from = match_position.0 as usize;
+        let until = self.entries.len().min(from + MAX_BATCH_ENTRIES);
+        Some(Batch { match_position, entries: self.entries[from..until].to_vec() })
     }
 
-    /// Takes an offer of the primary of `term` at `primary`.
-    pub fn receive(&mut self, term: Term, primary: SocketAddr, offer: &Offer) -> Receipt {
+    /// Appends a batch from the primary of `term` at address `primary`, after the
+    /// entries that differ from it have been truncated.
+    pub fn receive(&mut self, term: Term, primary: SocketAddr, batch: &Batch) -> Receipt {
         let follows = self.term == term && self.following == Some(primary);
-        if !follows || offer.agreed > self.last().position {
+        if !follows || batch.match_position > self.last().position {
             return Receipt::Refused;
         }
         let before = self.last();
-        // a log that has reached the term is a part of its primary's, so an
-        // offer that comes late has nothing to cut
-        let kept = if before.term == term { before.position } else { offer.agreed };
+        // a log that ends in this term is a prefix of the primary's log, so a
+        // delayed batch must not truncate entries appended since
+        let kept = if before.term == term { before.position } else { batch.match_position };
         let rewound = kept < self.applied;
         self.truncate(kept);
-        let held = (kept.0 - offer.agreed.0) as usize;
-        for entry in offer.entries.iter().skip(held) {
+        let known = (kept.0 - batch.match_position.0) as usize;
+        for entry in batch.entries.iter().skip(known) {
             self.push(Arc::clone(entry));
         }
         if rewound {
@@ -243,10 +247,10 @@
         if rewound || self.last() != before {
             self.version += 1;
         }
-        if rewound { Receipt::Rewound } else { Receipt::Kept }
+        if rewound { Receipt::Rewound } else { Receipt::Appended }
     }
 
-    /// Notes that reads see all entries up to `position`.
+    /// Records that all entries up to `position` are applied.
     pub fn apply(&mut self, position: Position) {
         if position <= self.applied || position > self.last().position {
             return;
@@ -257,29 +261,30 @@
 
     fn push(&mut self, entry: Arc<Entry>) {
         if entry.term > self.last().term {
-            self.runs.push(Mark { term: entry.term, position: self.last().position });
+            self.term_starts.push(Mark { term: entry.term, position: self.last().position });
         }
         self.entries.push(entry);
     }
 
     fn truncate(&mut self, position: Position) {
         self.entries.truncate(position.0 as usize);
-        self.runs.retain(|run| run.position < position);
+        self.term_starts.retain(|start| start.position < position);
     }
 
-    fn agreed(&self, runs: &[Mark], last: Position) -> Position {
-        let mut agreed = Position(0);
-        for (index, run) in runs.iter().enumerate() {
-            if self.runs.get(index) != Some(run) {
-                return agreed;
+    fn match_position(&self, term_starts: &[Mark], last: Position) -> Position {
+        let mut match_position = Position(0);
+        for (index, start) in term_starts.iter().enumerate() {
+            if self.term_starts.get(index) != Some(start) {
+                return match_position;
             }
-            let theirs = runs.get(index + 1).map_or(last, |next| next.position);
-            let ours = self.runs.get(index + 1).map_or(self.last().position, |next| next.position);
-            agreed = theirs.min(ours);
+            let theirs = term_starts.get(index + 1).map_or(last, |next| next.position);
+            let ours =
+                self.term_starts.get(index + 1).map_or(self.last().position, |next| next.position);
+            match_position = theirs.min(ours);
             if theirs != ours {
-                return agreed;
+                return match_position;
             }
         }
-        agreed
+        match_position
     }
 }
