--- a/components/load/src/bench.rs
+++ b/components/load/src/bench.rs
@@ -8,7 +8,7 @@
 use standin::counters::Counts;
 
 use crate::failure::Failure;
-use crate::scenario::{GROUPS, SERVERS, Scenario};
+use crate::scenario::{GROUPS, SERVERS_PER_GROUP, Scenario};
 
 /// A fault, put on the bench again and again during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
@@ -34,14 +34,14 @@
 
 impl Fault {
     /// Whether writes of the group are to be watched for a pause.
-    pub fn pauses(self) -> bool {
+    pub fn causes_failover(self) -> bool {
         matches!(self, Self::PrimaryCrash | Self::PrimaryPartition | Self::Double)
     }
 }
 
 /// A group as it stands.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct Snapshot {
     /// What each server says of itself.
     pub statuses: Vec<Status>,
     /// What each server has counted.
@@ -50,7 +50,7 @@
     pub primary: Option<SocketAddr>,
 }
 
-impl Sight {
+impl Snapshot {
     /// Looks at a group.
     pub fn of(group: &Group) -> Self {
         let primary = group.primary().map(|index| group.servers()[index]);
@@ -64,14 +64,14 @@
     fn addresses(&self) -> impl Future<Output = Vec<Vec<SocketAddr>>> + Send;
 
     /// Looks at a group's servers.
-    fn see(&self, group: usize) -> impl Future<Output = Sight> + Send;
+    fn snapshot(&self, group: usize) -> impl Future<Output = Snapshot> + Send;
 
-    /// Puts a fault on the bench, aimed at a group; `turn` counts the faults.
+    /// Puts a fault on the bench, aimed at a group; `round` counts the faults.
     fn inject(
         &mut self,
         fault: Fault,
         group: usize,
-        turn: usize,
+        round: usize,
     ) -> impl Future<Output = Result<(), Report<Failure>>> + Send;
 
     /// Ends all faults.
@@ -118,7 +118,7 @@
     let name = |text: &str| Name::new(text).expect("the scenarios' names are valid");
     standin::Settings {
         zones: scenario.zones().iter().map(|zone| name(zone)).collect(),
-        servers: SERVERS,
+        servers: SERVERS_PER_GROUP,
         slots: sizes.slots,
         connections: sizes.connections,
         lag: sizes.lags[index],
@@ -134,18 +134,18 @@
         self.groups.iter().map(|group| vec![primary(group)]).collect()
     }
 
-    async fn see(&self, group: usize) -> Sight {
-        Sight::of(&self.groups[group])
+    async fn snapshot(&self, group: usize) -> Snapshot {
+        Snapshot::of(&self.groups[group])
     }
 
     async fn inject(
         &mut self,
         fault: Fault,
         group: usize,
-        _turn: usize,
+        _round: usize,
     ) -> Result<(), Report<Failure>> {
         let fault = match fault {
-            Fault::ReplicaLag => standin::Fault::ReplicaLag(FAR_BEHIND),
+            Fault::ReplicaLag => standin::Fault::ReplicaLag(FAULT_LAG),
             Fault::PrimaryPartition => standin::Fault::PrimaryPartition,
             // without control nobody would promote another primary
             _ => return Err(Report::new(Failure::Fault)),
@@ -168,4 +168,4 @@
 }
 
 /// Lag of replicas that are far behind.
-pub const FAR_BEHIND: Duration = Duration::from_secs(5);
+pub const FAULT_LAG: Duration = Duration::from_secs(5);
--- a/components/load/src/caller.rs
+++ b/components/load/src/caller.rs
@@ -13,14 +13,14 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::client::{self, Answer, Connection};
-use crate::scenario::{OWN, REPEATABLE, Request};
+use crate::scenario::{IDEMPOTENT_KIND, OWN_READ_KIND, Request};
 use crate::shared::Shared;
 
 const RETRY: Duration = Duration::from_millis(20);
 const ACCOUNTS: u64 = 16;
 
 /// Significant digits of latencies.
-pub const DIGITS: u8 = 3;
+pub const LATENCY_DIGITS: u8 = 3;
 
 /// A write that must run at most once, and what its caller was told.
 #[derive(Clone, Debug)]
@@ -28,14 +28,14 @@
     /// Unique id of the request.
     pub id: String,
     /// What its caller was told.
-    pub told: Told,
+    pub outcome: Outcome,
     /// Whether it was a payment.
     pub payment: bool,
 }
 
 /// What a caller was told of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Outcome {
     /// It was acknowledged.
     Acked,
     /// It was not run.
@@ -54,9 +54,9 @@
     /// Writes that must run at most once.
     pub records: Vec<Record>,
     /// Value of its counter that was acknowledged last.
-    pub counter: u64,
+    pub acked_counter: u64,
     /// Counter updates that were acknowledged.
-    pub counters: u64,
+    pub acked_updates: u64,
     /// Latencies in microseconds.
     pub latencies: BTreeMap<String, Histogram<u64>>,
     /// Reads that missed the session's own writes.
@@ -155,7 +155,7 @@
         }
         self.shared.answered.fetch_add(1, Ordering::Relaxed);
         let elapsed = self.shared.clock.now().since(started).as_micros() as u64;
-        let fresh = || Histogram::new(DIGITS).expect("the digits are in range");
+        let fresh = || Histogram::new(LATENCY_DIGITS).expect("the digits are in range");
         let histogram = self.journal.latencies.entry(request.to_string()).or_insert_with(fresh);
         // it resizes to any value
         let _always_fits = histogram.record(elapsed);
@@ -166,30 +166,30 @@
     }
 
     fn tag(&self, kind: &str) -> String {
-        if self.shared.tagged { format!("/*kind='{kind}'*/ ") } else { String::new() }
+        if self.shared.tags_reads { format!("/*kind='{kind}'*/ ") } else { String::new() }
     }
 
     // notes an answer that is not done, and what a write was told by it
-    fn note(&mut self, answer: Answer) -> Told {
+    fn note(&mut self, answer: Answer) -> Outcome {
         match answer {
-            Answer::Done(_) => Told::Acked,
+            Answer::Done(_) => Outcome::Acked,
             Answer::NotRun(code) => {
                 *self.journal.errors.entry(code).or_default() += 1;
-                Told::NotRun
+                Outcome::NotRun
             }
             Answer::Unknown => {
                 self.journal.unknown += 1;
-                Told::Unknown
+                Outcome::Unknown
             }
         }
     }
 
-    fn record(&mut self, id: String, told: Told, payment: bool) -> bool {
-        if told == Told::Acked {
-            self.shared.acknowledge(self.journal.group);
+    fn record(&mut self, id: String, outcome: Outcome, payment: bool) -> bool {
+        if outcome == Outcome::Acked {
+            self.shared.record_ack(self.journal.group);
         }
-        self.journal.records.push(Record { id, told, payment });
-        told == Told::Acked
+        self.journal.records.push(Record { id, outcome, payment });
+        outcome == Outcome::Acked
     }
 
     fn check(&mut self, answer: &Answer, expected: &[&str]) {
@@ -206,42 +206,42 @@
             "INSERT INTO requests (id, session, marker) VALUES ('{id}', {session}, 'i{id}') \
              RETURNING id"
         );
-        let answer = connection.ask(&query).await;
+        let answer = connection.query(&query).await;
         self.check(&answer, &[&id]);
-        let told = self.note(answer);
-        self.record(id, told, false)
+        let outcome = self.note(answer);
+        self.record(id, outcome, false)
     }
 
     async fn pay(&mut self, connection: &Connection) -> bool {
         let id = self.id();
-        let told = match self.pay_open(connection, &id).await {
+        let outcome = match self.pay_open(connection, &id).await {
             Ok(()) => {
-                let answer = connection.ask("COMMIT").await;
+                let answer = connection.query("COMMIT").await;
                 self.note(answer)
             }
             // a transaction whose COMMIT was never sent has not run
             Err(answer) => {
-                if matches!(self.note(answer), Told::NotRun) {
-                    connection.ask("ROLLBACK").await;
+                if matches!(self.note(answer), Outcome::NotRun) {
+                    connection.query("ROLLBACK").await;
                 }
-                Told::NotRun
+                Outcome::NotRun
             }
         };
-        self.record(id, told, true)
+        self.record(id, outcome, true)
     }
 
     async fn pay_open(&mut self, connection: &Connection, id: &str) -> Result<(), Answer> {
         let (session, account) = (self.journal.session, self.rng.random_range(0..ACCOUNTS));
-        let open = connection.ask("BEGIN").await;
+        let open = connection.query("BEGIN").await;
         done(open)?;
         let update = format!("UPDATE accounts SET paid = paid + 1 WHERE id = {account}");
-        done(connection.ask(&update).await)?;
+        done(connection.query(&update).await)?;
         let insert = format!(
             "INSERT INTO requests (id, session, marker) VALUES ('{id}', {session}, 'p{id}')"
         );
-        done(connection.ask(&insert).await)?;
+        done(connection.query(&insert).await)?;
         let count = format!("SELECT count(*), '{id}' FROM requests WHERE marker = 'p{id}'");
-        let answer = connection.ask(&count).await;
+        let answer = connection.query(&count).await;
         self.check(&answer, &["1", id]);
         done(answer)
     }
@@ -249,14 +249,14 @@
     async fn set_counter(&mut self, connection: &Connection) -> bool {
         self.attempted += 1;
         let (value, session) = (self.attempted, self.journal.session);
-        let tag = format!("/*kind='{REPEATABLE}'*/");
+        let tag = format!("/*kind='{IDEMPOTENT_KIND}'*/");
         let query = format!("{tag} UPDATE counters SET value = {value} WHERE session = {session}");
-        let answer = connection.ask(&query).await;
-        let acked = self.note(answer) == Told::Acked;
+        let answer = connection.query(&query).await;
+        let acked = self.note(answer) == Outcome::Acked;
         if acked {
-            self.journal.counter = value;
-            self.journal.counters += 1;
-            self.shared.acknowledge(self.journal.group);
+            self.journal.acked_counter = value;
+            self.journal.acked_updates += 1;
+            self.shared.record_ack(self.journal.group);
         }
         acked
     }
@@ -264,27 +264,27 @@
     async fn read_own(&mut self, connection: &Connection) -> bool {
         let (id, session) = (self.id(), self.journal.session);
         let shared = self.shared.scenario.shared_kind();
-        let kind = if self.rng.random() { OWN } else { shared };
+        let kind = if self.rng.random() { OWN_READ_KIND } else { shared };
         let tag = self.tag(kind);
         let query = format!("{tag}SELECT value, '{id}' FROM counters WHERE session = {session}");
-        let answer = connection.ask(&query).await;
+        let answer = connection.query(&query).await;
         let value = self.value(&answer, &id);
-        if value.is_some_and(|value| value < self.journal.counter) {
+        if value.is_some_and(|value| value < self.journal.acked_counter) {
             self.journal.ryw_violations += 1;
         }
-        self.note(answer) == Told::Acked
+        self.note(answer) == Outcome::Acked
     }
 
     async fn read_shared(&mut self, connection: &Connection, started: Instant) -> bool {
         let (scenario, id) = (self.shared.scenario, self.id());
         let tag = self.tag(scenario.shared_kind());
-        let due = self.shared.pulse_due(self.journal.group, started, scenario.shared_age());
+        let due = self.shared.required_value(self.journal.group, started, scenario.shared_age());
         let query = format!("{tag}SELECT value, '{id}' FROM pulse WHERE id = 1");
-        let answer = connection.ask(&query).await;
+        let answer = connection.query(&query).await;
         if self.value(&answer, &id).is_some_and(|value| value < due) {
             self.journal.stale += 1;
         }
-        self.note(answer) == Told::Acked
+        self.note(answer) == Outcome::Acked
     }
 
     // value of a read that carries the request's id
--- a/components/load/src/client.rs
+++ b/components/load/src/client.rs
@@ -9,15 +9,15 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 /// Longest time that a caller waits for an answer.
-pub const TIMEOUT: Duration = Duration::from_secs(20);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// SQLSTATE of a request that was not run.
-pub const NOT_RUN: &str = "TF001";
+pub const SQLSTATE_NOT_RUN: &str = "TF001";
 
 /// SQLSTATE of a request that may have run.
-pub const UNKNOWN: &str = "TF002";
+pub const SQLSTATE_UNKNOWN: &str = "TF002";
 
 /// What a caller was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 }
 
 /// Parameter that carries the session's token.
-pub const TOKEN: &str = "trefoil.session";
+pub const TOKEN_PARAMETER: &str = "trefoil.session";
 
 type Token = Arc<Mutex<Option<String>>>;
 
@@ -59,7 +59,7 @@
     let mut config = tokio_postgres::Config::new();
     config.host(address.ip().to_string()).port(address.port()).user(service).dbname(group);
     if let Some(token) = token {
-        config.options(format!("-c {TOKEN}={token}"));
+        config.options(format!("-c {TOKEN_PARAMETER}={token}"));
     }
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, config.connect(NoTls));
     let (client, connection) = connecting.await.ok()?.ok()?;
@@ -74,7 +74,7 @@
     let step = std::future::poll_fn(|context| {
         loop {
             let polled = connection.poll_message(context);
-            if let Some(reported) = connection.parameter(TOKEN) {
+            if let Some(reported) = connection.parameter(TOKEN_PARAMETER) {
                 let mut token = token.lock().unwrap_or_else(PoisonError::into_inner);
                 if token.as_deref() != Some(reported) {
                     *token = Some(reported.to_owned());
@@ -97,9 +97,9 @@
     }
 
     /// Asks one thing.
-    pub async fn ask(&self, query: &str) -> Answer {
-        let asked = tokio::time::timeout(TIMEOUT, self.client.simple_query(query)).await;
-        match asked {
+    pub async fn query(&self, sql: &str) -> Answer {
+        let answered = tokio::time::timeout(ANSWER_TIMEOUT, self.client.simple_query(sql)).await;
+        match answered {
             Ok(Ok(messages)) => Answer::Done(rows(&messages)),
             Ok(Err(error)) => meaning(&error),
             Err(_elapsed) => Answer::Unknown,
@@ -126,7 +126,9 @@
 // a server's own error undoes the statement; without one nothing is known
 fn meaning(error: &tokio_postgres::Error) -> Answer {
     match error.code().map(tokio_postgres::error::SqlState::code) {
-        None | Some(UNKNOWN | "57P01" | "57P02" | "08006" | "08007" | "40003") => Answer::Unknown,
+        None | Some(SQLSTATE_UNKNOWN | "57P01" | "57P02" | "08006" | "08007" | "40003") => {
+            Answer::Unknown
+        }
         Some(code) => Answer::NotRun(code.to_owned()),
     }
 }
--- a/components/load/src/lib.rs
+++ b/components/load/src/lib.rs
@@ -3,10 +3,10 @@
 //!
 //! - [`scenario`]: the users' workloads, sizes and declarations.
 //! - [`bench`]: what the load runs against, and the faults it can suffer.
-//! - [`whole`]: the whole path as a bench.
+//! - [`proxied`]: the whole path as a bench.
 //! - [`client`]: one connection of a caller, and what an answer means.
 //! - [`caller`]: one caller's session, which roams between entries.
-//! - [`pulse`]: a steady writer for each group, which dates what reads show.
+//! - [`writer`]: a steady writer for each group, which dates what reads show.
 //! - [`run`]: the phases of a run.
 //! - [`oracle`]: the check at the end.
 //! - [`verdict`]: the result.
@@ -17,16 +17,16 @@
 pub mod failure;
 pub mod oracle;
 pub mod overload;
-pub mod pulse;
+pub mod proxied;
 pub mod run;
 pub mod scenario;
 pub mod shared;
 pub mod verdict;
-pub mod whole;
+pub mod writer;
 
 pub use bench::{Bench, Direct, Fault};
 pub use failure::Failure;
+pub use proxied::Proxied;
 pub use run::{Baseline, Settings, run};
 pub use scenario::Scenario;
 pub use verdict::Verdict;
-pub use whole::Whole;
--- a/components/load/src/oracle.rs
+++ b/components/load/src/oracle.rs
@@ -4,8 +4,8 @@
 
 use base::prelude::*;
 
-use crate::bench::{Bench, Sight};
-use crate::caller::{Journal, Told};
+use crate::bench::{Bench, Snapshot};
+use crate::caller::{Journal, Outcome};
 use crate::client::{self, Answer, Connection};
 use crate::failure::Failure;
 use crate::verdict::Verdict;
@@ -29,21 +29,24 @@
 ///
 /// # Errors
 /// [`Failure::Convergence`].
-pub async fn settle(bench: &impl Bench, group: usize) -> Result<Sight, Report<Failure>> {
+pub async fn wait_convergence(
+    bench: &impl Bench,
+    group: usize,
+) -> Result<Snapshot, Report<Failure>> {
     let settled = async {
         loop {
-            let sight = bench.see(group).await;
-            if alike(&sight.statuses) {
-                return sight;
+            let snapshot = bench.snapshot(group).await;
+            if alike(&snapshot.statuses) {
+                return snapshot;
             }
             tokio::time::sleep(PAUSE).await;
         }
     };
     match tokio::time::timeout(CONVERGENCE, settled).await {
-        Ok(sight) => Ok(sight),
+        Ok(snapshot) => Ok(snapshot),
         Err(_elapsed) => {
-            let sight = bench.see(group).await;
-            Err(Report::new(Failure::Convergence).attach(format!("{:#?}", sight.statuses)))
+            let snapshot = bench.snapshot(group).await;
+            Err(Report::new(Failure::Convergence).attach(format!("{:#?}", snapshot.statuses)))
         }
     }
 }
@@ -63,8 +66,8 @@
 ///
 /// # Errors
 /// [`Failure::Audit`].
-pub async fn read(sight: &Sight) -> Result<Rows, Report<Failure>> {
-    let address = sight.primary.ok_or(Failure::Audit)?;
+pub async fn read(snapshot: &Snapshot) -> Result<Rows, Report<Failure>> {
+    let address = snapshot.primary.ok_or(Failure::Audit)?;
     // probes find a connection free also when callers hold all others
     let connection = client::connect(address, AUDITOR, AUDITOR, None).await;
     let connection = connection.ok_or(Failure::Audit)?;
@@ -86,7 +89,7 @@
 }
 
 async fn ask(connection: &Connection, query: &str) -> Result<Vec<Vec<String>>, Report<Failure>> {
-    match connection.ask(query).await {
+    match connection.query(query).await {
         Answer::Done(rows) => Ok(rows),
         _ => Err(Report::new(Failure::Audit)),
     }
@@ -106,14 +109,14 @@
 fn check_journal(rows: &Rows, journal: &Journal, verdict: &mut Verdict) {
     for record in &journal.records {
         let ran = rows.requests.get(&record.id).copied().unwrap_or_default();
-        verdict.acked += u64::from(record.told == Told::Acked);
-        verdict.acked_lost += u64::from(record.told == Told::Acked && ran == 0);
-        verdict.not_run_but_ran += u64::from(record.told == Told::NotRun && ran > 0);
+        verdict.acked += u64::from(record.outcome == Outcome::Acked);
+        verdict.acked_lost += u64::from(record.outcome == Outcome::Acked && ran == 0);
+        verdict.not_run_but_ran += u64::from(record.outcome == Outcome::NotRun && ran > 0);
         verdict.doubled += u64::from(ran > 1);
     }
     let counter = rows.counters.get(&journal.session).copied().unwrap_or_default();
-    verdict.acked += journal.counters;
-    verdict.acked_lost += u64::from(counter < journal.counter);
+    verdict.acked += journal.acked_updates;
+    verdict.acked_lost += u64::from(counter < journal.acked_counter);
     verdict.ryw_violations += journal.ryw_violations;
     verdict.mixed_answers += journal.mixed_answers;
     verdict.stale_beyond_age += journal.stale;
--- a/components/load/src/overload.rs
+++ b/components/load/src/overload.rs
@@ -7,7 +7,7 @@
 use base::prelude::*;
 
 use crate::client::{self, Answer};
-use crate::scenario::OWN;
+use crate::scenario::OWN_READ_KIND;
 use crate::shared::Shared;
 
 const GROUP: usize = 0;
@@ -35,7 +35,7 @@
 
 async fn flood(shared: &Shared, service: &str, number: usize, count: &AtomicU64) {
     let group = shared.scenario.group(GROUP);
-    let query = format!("/*kind='{OWN}'*/ SELECT value FROM counters WHERE session = 0");
+    let query = format!("/*kind='{OWN_READ_KIND}'*/ SELECT value FROM counters WHERE session = 0");
     loop {
         let address = shared.address(GROUP, number);
         let Some(connection) = client::connect(address, service, &group, None).await else {
@@ -43,7 +43,7 @@
             continue;
         };
         while !connection.is_closed() {
-            match connection.ask(&query).await {
+            match connection.query(&query).await {
                 Answer::Done(_) => drop(count.fetch_add(1, Ordering::Relaxed)),
                 _ => tokio::time::sleep(RETRY).await,
             }
@@ -52,7 +52,7 @@
 }
 
 /// Jain's index of shares: 1 when all are alike, 1/n when one has all.
-pub fn jain(shares: &BTreeMap<String, u64>) -> f64 {
+pub fn jain_index(shares: &BTreeMap<String, u64>) -> f64 {
     let sum: f64 = shares.values().map(|share| *share as f64).sum();
     let squares: f64 = shares.values().map(|share| (*share as f64).powi(2)).sum();
     if squares == 0.0 { 0.0 } else { sum * sum / (shares.len() as f64 * squares) }
--- a/components/load/src/whole.rs
+++ b/components/load/src/proxied.rs
@@ -6,7 +6,7 @@
 use local::{Cluster, admin};
 use slog::{Logger, warn};
 
-use crate::bench::{Bench, FAR_BEHIND, Fault, Sight};
+use crate::bench::{Bench, FAULT_LAG, Fault, Snapshot};
 use crate::failure::Failure;
 use crate::scenario::{GROUPS, Scenario};
 
@@ -21,7 +21,7 @@
 
 /// Entries, control members and groups on loopback.
 #[derive(Debug)]
-pub struct Whole {
+pub struct Proxied {
     cluster: Cluster,
     scenario: Scenario,
     killed: Vec<usize>,
@@ -29,7 +29,7 @@
     log: Logger,
 }
 
-impl Whole {
+impl Proxied {
     /// Starts all parts and puts the load's declarations in force.
     ///
     /// # Errors
@@ -62,7 +62,7 @@
         let content = self.scenario.declarations().canonical();
         let change = admin::Change { id: "load", base: 1, content: &content };
         let (client, admins) = (reqwest::Client::new(), self.cluster.admins());
-        let told = admin::change(&client, &admins, change, RETRY, DECLARE_TIMEOUT).await;
+        let told = admin::submit(&client, &admins, change, RETRY, DECLARE_TIMEOUT).await;
         let done = told.is_some_and(|status| status.is_success());
         if done { Ok(()) } else { Err(Report::new(Failure::Start)) }
     }
@@ -70,7 +70,7 @@
     // a group that has no primary yet after an earlier fault is passed over
     async fn fault(&self, group: usize, fault: standin::Fault) {
         let name = self.scenario.group(group);
-        if let Err(report) = self.cluster.groups().fault(&name, fault).await {
+        if let Err(report) = self.cluster.groups().inject(&name, fault).await {
             warn!(self.log, "a fault was passed over"; "group" => name, "error" => ?report);
         }
     }
@@ -89,38 +89,38 @@
         Err(Report::new(Failure::Fault))
     }
 
-    async fn kill_entry(&mut self, turn: usize) {
-        let entry = turn % ENTRIES;
+    async fn kill_entry(&mut self, round: usize) {
+        let entry = round % ENTRIES;
         self.cluster.kill_entry(entry).await;
         self.killed.push(entry);
     }
 
-    async fn double(&mut self, group: usize, turn: usize) {
+    async fn double(&mut self, group: usize, round: usize) {
         self.fault(group, standin::Fault::PrimaryCrash).await;
-        self.kill_entry(turn).await;
+        self.kill_entry(round).await;
         tokio::time::sleep(SECOND_CRASH).await;
         let other = (group + 1) % GROUPS;
         self.fault(other, standin::Fault::PrimaryPartition).await;
     }
 }
 
-impl Bench for Whole {
+impl Bench for Proxied {
     async fn addresses(&self) -> Vec<Vec<SocketAddr>> {
         let entries = self.cluster.entries().await;
         vec![entries; GROUPS]
     }
 
-    async fn see(&self, group: usize) -> Sight {
+    async fn snapshot(&self, group: usize) -> Snapshot {
         let name = self.scenario.group(group);
-        let sight = self.cluster.groups().read(&name, Sight::of).await;
-        sight.expect("the cluster has the scenario's groups")
+        let snapshot = self.cluster.groups().inspect(&name, Snapshot::of).await;
+        snapshot.expect("the cluster has the scenario's groups")
     }
 
     async fn inject(
         &mut self,
         fault: Fault,
         group: usize,
-        turn: usize,
+        round: usize,
     ) -> Result<(), Report<Failure>> {
         match fault {
             Fault::None => {}
@@ -129,22 +129,22 @@
                 self.fault(group, standin::Fault::PrimaryPartition).await;
             }
             Fault::ReplicaLag => {
-                self.fault(group, standin::Fault::ReplicaLag(FAR_BEHIND)).await;
+                self.fault(group, standin::Fault::ReplicaLag(FAULT_LAG)).await;
             }
-            Fault::EntryCrash => self.kill_entry(turn).await,
+            Fault::EntryCrash => self.kill_entry(round).await,
             Fault::ControlIsolated => {
-                let control = turn % CONTROLS;
+                let control = round % CONTROLS;
                 self.cluster.isolate_control(control, true).await;
                 self.isolated.push(control);
             }
             Fault::RollingRestart => {
                 for step in 0..RESTARTED {
-                    let entry = (turn * RESTARTED + step) % ENTRIES;
+                    let entry = (round * RESTARTED + step) % ENTRIES;
                     self.cluster.stop_entry(entry).await;
                     self.start_entry(entry).await?;
                 }
             }
-            Fault::Double => self.double(group, turn).await,
+            Fault::Double => self.double(group, round).await,
         }
         Ok(())
     }
--- a/components/load/src/run.rs
+++ b/components/load/src/run.rs
@@ -9,13 +9,13 @@
 use tokio::task::JoinSet;
 
 use crate::bench::{Bench, Fault};
-use crate::caller::{self, Caller, DIGITS, Journal};
+use crate::caller::{self, Caller, Journal, LATENCY_DIGITS};
 use crate::client::{self, Answer};
 use crate::failure::Failure;
 use crate::scenario::{GROUPS, Scenario};
 use crate::shared::Shared;
-use crate::verdict::{Spread, Verdict};
-use crate::{oracle, overload, pulse};
+use crate::verdict::{Percentiles, Verdict};
+use crate::{oracle, overload, writer};
 
 const SCHEMA_TIMEOUT: Duration = Duration::from_secs(30);
 const SCHEMA_RETRY: Duration = Duration::from_millis(100);
@@ -82,8 +82,8 @@
     settings: &Settings,
     progress: Progress<'_>,
 ) -> Result<Verdict, Report<Failure>> {
-    let tagged = settings.baseline != Baseline::PrimaryOnly;
-    let shared = Arc::new(Shared::new(settings.scenario, tagged, GROUPS));
+    let tags_reads = settings.baseline != Baseline::PrimaryOnly;
+    let shared = Arc::new(Shared::new(settings.scenario, tags_reads, GROUPS));
     refresh(bench, &shared).await;
     progress(Phase::Schema, 0.0);
     prepare(&shared, settings.callers).await?;
@@ -103,10 +103,10 @@
     let answered = shared.answered.load(Ordering::Relaxed);
     verdict.statements_per_s = answered as f64 / verdict.seconds;
     verdict.replica_read_share = share(before, reads(bench).await);
-    verdict.failover_gap_ms = Spread::of(&pauses);
+    verdict.failover_gap_ms = Percentiles::of(&pauses);
     progress(Phase::Overload, 0.0);
     verdict.overload = overload::run(&shared, settings.length.mul_f64(OVERLOAD_SHARE)).await;
-    verdict.fairness = overload::jain(&verdict.overload);
+    verdict.fairness = overload::jain_index(&verdict.overload);
     shared.stop();
     let mut journals = Vec::new();
     while let Some(journal) = callers.join_next().await {
@@ -128,9 +128,9 @@
         tasks.spawn(async { Some(caller.run().await) });
     }
     for group in 0..GROUPS {
-        let pulse = pulse::run(Arc::clone(shared), group);
+        let writer = writer::run(Arc::clone(shared), group);
         tasks.spawn(async {
-            pulse.await;
+            writer.await;
             None
         });
     }
@@ -160,7 +160,7 @@
         entry += 1;
         if let Some(connection) = client::connect(address, service, &name, None).await {
             while let Some(statement) = left.last()
-                && matches!(connection.ask(statement).await, Answer::Done(_))
+                && matches!(connection.query(statement).await, Answer::Done(_))
             {
                 left.pop();
             }
@@ -182,23 +182,23 @@
     progress: Progress<'_>,
     verdict: &mut Verdict,
 ) -> Result<Histogram<u64>, Report<Failure>> {
-    let mut pauses = Histogram::new(DIGITS).expect("the digits are in range");
+    let mut pauses = Histogram::new(LATENCY_DIGITS).expect("the digits are in range");
     let end = shared.clock.now() + length;
     wait(shared, WARM, end, length, progress).await;
     let whole = FAULT_LENGTH + REST;
     while settings.fault != Fault::None && shared.clock.now() + whole <= end {
-        let turn = verdict.faults as usize;
-        let group = turn % GROUPS;
+        let round = verdict.faults as usize;
+        let group = round % GROUPS;
         let from = shared.clock.now();
-        bench.inject(settings.fault, group, turn).await?;
+        bench.inject(settings.fault, group, round).await?;
         refresh(bench, shared).await;
         verdict.faults += 1;
         wait(shared, FAULT_LENGTH, end, length, progress).await;
         bench.heal().await?;
         refresh(bench, shared).await;
         wait(shared, REST, end, length, progress).await;
-        if settings.fault.pauses() {
-            let pause = shared.trace(group).longest_pause(from, shared.clock.now());
+        if settings.fault.causes_failover() {
+            let pause = shared.timeline(group).longest_pause(from, shared.clock.now());
             verdict.failover_gaps_ms.push(pause.as_secs_f64() * 1_000.0);
             let _always_fits = pauses.record(pause.as_micros() as u64);
         }
@@ -227,7 +227,7 @@
 async fn reads(bench: &impl Bench) -> (u64, u64) {
     let mut sum = (0, 0);
     for group in 0..GROUPS {
-        for counts in bench.see(group).await.counts {
+        for counts in bench.snapshot(group).await.counts {
             sum = (sum.0 + counts.reads_replica, sum.1 + counts.reads_primary);
         }
     }
@@ -248,21 +248,21 @@
     bench.heal().await?;
     let mut latencies = BTreeMap::new();
     for group in 0..GROUPS {
-        let sight = oracle::settle(bench, group).await?;
-        let rows = oracle::read(&sight).await?;
-        verdict.terms.extend(sight.statuses.iter().map(|status| status.term.0).max());
+        let snapshot = oracle::wait_convergence(bench, group).await?;
+        let rows = oracle::read(&snapshot).await?;
+        verdict.terms.extend(snapshot.statuses.iter().map(|status| status.term.0).max());
         let own = journals.iter().filter(|journal| journal.group == group);
         oracle::check(&rows, own, verdict);
-        let beyond = sight.counts.iter().map(|counts| counts.refused + counts.queued);
+        let beyond = snapshot.counts.iter().map(|counts| counts.refused + counts.queued);
         verdict.limit_exceeded += beyond.sum::<u64>();
     }
     for (kind, histogram) in journals.iter().flat_map(|journal| &journal.latencies) {
-        let fresh = || Histogram::new(DIGITS).expect("the digits are in range");
+        let fresh = || Histogram::new(LATENCY_DIGITS).expect("the digits are in range");
         let whole: &mut Histogram<u64> = latencies.entry(kind.clone()).or_insert_with(fresh);
         // histograms of the same digits that resize always add up
         let _always_fits = whole.add(histogram);
     }
     verdict.latency_ms =
-        latencies.iter().map(|(kind, whole)| (kind.clone(), Spread::of(whole))).collect();
+        latencies.iter().map(|(kind, whole)| (kind.clone(), Percentiles::of(whole))).collect();
     Ok(())
 }
--- a/components/load/src/scenario.rs
+++ b/components/load/src/scenario.rs
@@ -31,13 +31,13 @@
 pub const GROUPS: usize = 3;
 
 /// Servers of a group.
-pub const SERVERS: usize = 3;
+pub const SERVERS_PER_GROUP: usize = 3;
 
 /// Kind of reads that follow a session's own writes.
-pub const OWN: &str = "own-status";
+pub const OWN_READ_KIND: &str = "own-status";
 
 /// Kind of writes that may be repeated.
-pub const REPEATABLE: &str = "counter-set";
+pub const IDEMPOTENT_KIND: &str = "counter-set";
 
 /// What a caller may ask next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
@@ -123,7 +123,7 @@
 
     /// Declarations that the traffic needs.
     pub fn declarations(self) -> Declarations {
-        let group = || Group { servers: SERVERS as u32, ..Group::default() };
+        let group = || Group { servers: SERVERS_PER_GROUP as u32, ..Group::default() };
         let groups = (0..GROUPS).map(|index| (name(&self.group(index)), group())).collect();
         let service = || Service {
             labels: BTreeMap::new(),
@@ -153,8 +153,8 @@
         let repeatable = Kind { class: Class::Idempotent, ..Kind::default() };
         BTreeMap::from([
             (name(self.shared_kind()), read(self.shared_age())),
-            (name(OWN), read(Duration::ZERO)),
-            (name(REPEATABLE), repeatable),
+            (name(OWN_READ_KIND), read(Duration::ZERO)),
+            (name(IDEMPOTENT_KIND), repeatable),
         ])
     }
 }
--- a/components/load/src/shared.rs
+++ b/components/load/src/shared.rs
@@ -15,31 +15,31 @@
     /// The workload.
     pub scenario: Scenario,
     /// Whether reads carry the tag of their kind.
-    pub tagged: bool,
+    pub tags_reads: bool,
     /// Time of the run.
     pub clock: Clock,
     /// Number of requests that were answered.
     pub answered: AtomicU64,
     addresses: RwLock<Vec<Vec<SocketAddr>>>,
     stopped: AtomicBool,
-    groups: Vec<Mutex<Trace>>,
+    groups: Vec<Mutex<Timeline>>,
 }
 
 /// Acknowledged writes of one group, by time.
 #[derive(Debug, Default)]
-pub struct Trace {
+pub struct Timeline {
     /// When any write was acknowledged.
     pub acks: Vec<Instant>,
     /// When each value of the pulse was acknowledged.
-    pub pulses: Vec<(Instant, u64)>,
+    pub values: Vec<(Instant, u64)>,
 }
 
 impl Shared {
     /// Makes it for so many groups; the addresses come later.
-    pub fn new(scenario: Scenario, tagged: bool, groups: usize) -> Self {
+    pub fn new(scenario: Scenario, tags_reads: bool, groups: usize) -> Self {
         Self {
             scenario,
-            tagged,
+            tags_reads,
             clock: Clock::start(),
             answered: AtomicU64::new(0),
             addresses: RwLock::default(),
@@ -71,35 +71,35 @@
     }
 
     /// The trace of a group.
-    pub fn trace(&self, group: usize) -> MutexGuard<'_, Trace> {
+    pub fn timeline(&self, group: usize) -> MutexGuard<'_, Timeline> {
         self.groups[group].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a write was acknowledged.
-    pub fn acknowledge(&self, group: usize) {
-        let mut trace = self.trace(group);
+    pub fn record_ack(&self, group: usize) {
+        let mut timeline = self.timeline(group);
         // under the lock, so that times only rise
-        trace.acks.push(self.clock.now());
+        timeline.acks.push(self.clock.now());
     }
 
     /// Notes that a value of the pulse was acknowledged.
-    pub fn acknowledge_pulse(&self, group: usize, value: u64) {
-        let mut trace = self.trace(group);
+    pub fn record_value(&self, group: usize, value: u64) {
+        let mut timeline = self.timeline(group);
         let now = self.clock.now();
-        trace.acks.push(now);
-        trace.pulses.push((now, value));
+        timeline.acks.push(now);
+        timeline.values.push((now, value));
     }
 
     /// Value of the pulse that a read must show which begins at `now` and
     /// accepts `age`.
-    pub fn pulse_due(&self, group: usize, now: Instant, age: Duration) -> u64 {
-        let trace = self.trace(group);
-        let before = trace.pulses.partition_point(|(acked, _)| *acked + age < now);
-        before.checked_sub(1).map_or(0, |last| trace.pulses[last].1)
+    pub fn required_value(&self, group: usize, now: Instant, age: Duration) -> u64 {
+        let timeline = self.timeline(group);
+        let before = timeline.values.partition_point(|(acked, _)| *acked + age < now);
+        before.checked_sub(1).map_or(0, |last| timeline.values[last].1)
     }
 }
 
-impl Trace {
+impl Timeline {
     /// Longest pause between two acknowledged writes that touches a time.
     pub fn longest_pause(&self, from: Instant, until: Instant) -> Duration {
         let first = self.acks.partition_point(|ack| *ack <= from).saturating_sub(1);
--- a/components/load/src/verdict.rs
+++ b/components/load/src/verdict.rs
@@ -7,7 +7,7 @@
 
 /// Two percentiles and the greatest value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
+pub struct Percentiles {
     /// Median.
     pub p50: f64,
     /// 99th percentile.
@@ -16,7 +16,7 @@
     pub max: f64,
 }
 
-impl Spread {
+impl Percentiles {
     /// Summary in milliseconds of values in microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Self {
         let millis = |micros: u64| micros as f64 / 1_000.0;
@@ -70,15 +70,15 @@
     /// Faults that were put on groups.
     pub faults: u64,
     /// Longest pauses of acknowledged writes on a faulted group, in milliseconds.
-    pub failover_gap_ms: Spread,
+    pub failover_gap_ms: Percentiles,
     /// The same, one by one, in the order of the faults.
     pub failover_gaps_ms: Vec<f64>,
     /// Term of each group at the end.
     pub terms: Vec<u64>,
     /// Latencies in milliseconds, by kind.
-    pub latency_ms: BTreeMap<String, Spread>,
+    pub latency_ms: BTreeMap<String, Percentiles>,
     /// Latencies against one stand-in without the proxy, by kind.
-    pub direct_latency_ms: BTreeMap<String, Spread>,
+    pub direct_latency_ms: BTreeMap<String, Percentiles>,
     /// Jain's index of the services' shares under overload; 1 is fair.
     pub fairness: f64,
     /// Statements answered in the overload, by service.
@@ -89,7 +89,7 @@
 
 impl Verdict {
     /// Whether a promise was broken.
-    pub fn is_broken(&self) -> bool {
+    pub fn has_violation(&self) -> bool {
         let broken = [
             self.acked_lost,
             self.doubled,
--- a/components/load/src/pulse.rs
+++ b/components/load/src/writer.rs
@@ -8,7 +8,7 @@
 use base::prelude::*;
 
 use crate::client::{self, Answer};
-use crate::scenario::REPEATABLE;
+use crate::scenario::IDEMPOTENT_KIND;
 use crate::shared::Shared;
 
 const PERIOD: Duration = Duration::from_millis(40);
@@ -29,13 +29,13 @@
         };
         while !connection.is_closed() && !shared.is_stopped() {
             value += 1;
-            let tag = format!("/*kind='{REPEATABLE}'*/");
+            let tag = format!("/*kind='{IDEMPOTENT_KIND}'*/");
             let query = format!("{tag} UPDATE pulse SET value = {value} WHERE id = 1");
-            if !matches!(connection.ask(&query).await, Answer::Done(_)) {
+            if !matches!(connection.query(&query).await, Answer::Done(_)) {
                 tokio::time::sleep(RETRY).await;
                 break;
             }
-            shared.acknowledge_pulse(group, value);
+            shared.record_value(group, value);
             tokio::time::sleep(PERIOD).await;
         }
     }
--- a/components/load/tests/direct.rs
+++ b/components/load/tests/direct.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use load::bench::Sight;
-use load::caller::{Journal, Record, Told};
+use load::bench::Snapshot;
+use load::caller::{Journal, Outcome, Record};
 use load::oracle::{self, Rows};
 use load::{Baseline, Bench, Direct, Failure, Fault, Scenario, Settings, Verdict};
 use slog::{Discard, Logger, o};
@@ -26,7 +26,7 @@
     let verdict = load::run(&mut bench, &settings, &|_, _| {}).await.unwrap();
     assert!(verdict.acked > 0);
     let broken = Verdict { limit_exceeded: 0, ..verdict.clone() };
-    assert!(!broken.is_broken(), "{verdict:#?}");
+    assert!(!broken.has_violation(), "{verdict:#?}");
     bench.stop().await;
 }
 
@@ -38,17 +38,17 @@
         self.0.groups().iter().map(standin::Group::servers).collect()
     }
 
-    async fn see(&self, group: usize) -> Sight {
-        self.0.see(group).await
+    async fn snapshot(&self, group: usize) -> Snapshot {
+        self.0.snapshot(group).await
     }
 
     async fn inject(
         &mut self,
         fault: Fault,
         group: usize,
-        turn: usize,
+        round: usize,
     ) -> Result<(), Report<Failure>> {
-        self.0.inject(fault, group, turn).await
+        self.0.inject(fault, group, round).await
     }
 
     async fn heal(&mut self) -> Result<(), Report<Failure>> {
@@ -80,22 +80,22 @@
     bench.stop().await;
 }
 
-fn record(id: &str, told: Told) -> Record {
-    Record { id: id.to_owned(), told, payment: id.starts_with('p') }
+fn record(id: &str, outcome: Outcome) -> Record {
+    Record { id: id.to_owned(), outcome, payment: id.starts_with('p') }
 }
 
 #[test]
 fn tells_each_kind_of_broken_promise() {
     let records = vec![
-        record("kept", Told::Acked),
-        record("lost", Told::Acked),
-        record("ran", Told::NotRun),
-        record("skipped", Told::NotRun),
-        record("twice", Told::Acked),
-        record("open", Told::Unknown),
-        record("paid", Told::Acked),
+        record("kept", Outcome::Acked),
+        record("lost", Outcome::Acked),
+        record("ran", Outcome::NotRun),
+        record("skipped", Outcome::NotRun),
+        record("twice", Outcome::Acked),
+        record("open", Outcome::Unknown),
+        record("paid", Outcome::Acked),
     ];
-    let journal = Journal { records, counter: 5, session: 3, ..Journal::default() };
+    let journal = Journal { records, acked_counter: 5, session: 3, ..Journal::default() };
     let ran = [("kept", 1), ("ran", 1), ("twice", 2), ("paid", 1)];
     let rows = Rows {
         requests: ran.map(|(id, count)| (id.to_owned(), count)).into_iter().collect(),
@@ -107,5 +107,5 @@
     assert_eq!((verdict.acked, verdict.acked_lost), (4, 2));
     assert_eq!((verdict.not_run_but_ran, verdict.doubled), (1, 1));
     assert_eq!(verdict.torn_transactions, 1);
-    assert!(verdict.is_broken());
+    assert!(verdict.has_violation());
 }
--- a/components/load/tests/whole.rs
+++ b/components/load/tests/whole.rs
@@ -1,7 +1,7 @@
 //! The promises on the whole path, under load and faults.
 
 use base::prelude::*;
-use load::{Baseline, Bench, Fault, Scenario, Settings, Verdict, Whole};
+use load::{Baseline, Bench, Fault, Proxied, Scenario, Settings, Verdict};
 use slog::{Discard, Logger, o};
 
 // room for the start, one fault and its healing
@@ -9,7 +9,7 @@
 
 async fn run(scenario: Scenario, fault: Fault, seed: u64) -> Verdict {
     let log = Logger::root(Discard, o!());
-    let mut bench = Whole::start(scenario, seed, &log).await.unwrap();
+    let mut bench = Proxied::start(scenario, seed, &log).await.unwrap();
     let settings = Settings {
         scenario,
         fault,
@@ -27,7 +27,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn keeps_its_promises_when_a_primary_crashes() {
     let verdict = run(Scenario::Lakeshore, Fault::PrimaryCrash, 21).await;
-    assert!(!verdict.is_broken(), "{verdict:#?}");
+    assert!(!verdict.has_violation(), "{verdict:#?}");
     assert!(verdict.acked > 0 && verdict.faults > 0, "{verdict:#?}");
     assert!(verdict.terms.iter().any(|term| *term > 1), "{verdict:#?}");
 }
@@ -35,6 +35,6 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn keeps_its_promises_when_faults_come_together() {
     let verdict = run(Scenario::Egbolt, Fault::Double, 22).await;
-    assert!(!verdict.is_broken(), "{verdict:#?}");
+    assert!(!verdict.has_violation(), "{verdict:#?}");
     assert!(verdict.acked > 0 && verdict.faults > 0, "{verdict:#?}");
 }
--- a/components/local/src/admin.rs
+++ b/components/local/src/admin.rs
@@ -20,7 +20,7 @@
 /// Puts a change to one member after the other until one gives a final answer:
 /// that it is in force, a conflict, or that it is wrong. `None` when none did
 /// within `limit`; the members are asked each `pause`.
-pub async fn change(
+pub async fn submit(
     client: &Client,
     admins: &[SocketAddr],
     change: Change<'_>,
--- a/components/local/src/cluster.rs
+++ b/components/local/src/cluster.rs
@@ -54,7 +54,7 @@
             listen: free,
             admin: free,
             data: None,
-            lag: scenario::LAG,
+            lag: scenario::REPLICA_LAG,
             seed: 1,
             log,
         }
@@ -247,7 +247,7 @@
         let content = declarations.change_context(Failure::Declarations)?.canonical();
         let change = admin::Change { id: "first", base: 0, content: &content };
         let (client, admins) = (reqwest::Client::new(), self.admins());
-        match admin::change(&client, &admins, change, READY_POLL, READY_TIMEOUT).await {
+        match admin::submit(&client, &admins, change, READY_POLL, READY_TIMEOUT).await {
             // data of an earlier run holds a configuration already
             Some(status) if status.is_success() || status == StatusCode::CONFLICT => Ok(()),
             Some(_) | None => Err(Report::new(Failure::Timeout)),
--- a/components/local/src/fault.rs
+++ b/components/local/src/fault.rs
@@ -67,7 +67,7 @@
             let group = standin::Group::start(standin::Settings {
                 name: name.clone(),
                 zones: zones.clone(),
-                servers: scenario::SERVERS,
+                servers: scenario::SERVERS_PER_GROUP,
                 slots: scenario.slots(),
                 connections: scenario.connections(),
                 lag: settings.lag,
@@ -86,14 +86,18 @@
     ///
     /// # Errors
     /// [`Refusal`].
-    pub async fn fault(&self, group: &str, fault: standin::Fault) -> Result<(), Report<Refusal>> {
+    pub async fn inject(&self, group: &str, fault: standin::Fault) -> Result<(), Report<Refusal>> {
         let groups = self.groups.read().await;
         let group = groups.get(group).ok_or(Refusal::UnknownGroup)?;
         group.fault(fault).await.change_context(Refusal::Impossible)
     }
 
     /// Asks something of a group.
-    pub async fn read<T>(&self, group: &str, ask: impl FnOnce(&standin::Group) -> T) -> Option<T> {
+    pub async fn inspect<T>(
+        &self,
+        group: &str,
+        ask: impl FnOnce(&standin::Group) -> T,
+    ) -> Option<T> {
         self.groups.read().await.get(group).map(ask)
     }
 
@@ -118,7 +122,7 @@
     let Ok(fault) = request.fault.parse::<standin::Fault>() else {
         return refuse(Refusal::UnknownFault);
     };
-    match groups.fault(&request.group, fault).await {
+    match groups.inject(&request.group, fault).await {
         Ok(()) => (StatusCode::OK, Json(Answer { error: None })),
         Err(report) => refuse(*report.current_context()),
     }
--- a/components/local/src/scenario.rs
+++ b/components/local/src/scenario.rs
@@ -47,13 +47,13 @@
 ];
 
 /// Time that a new connection to a backend server takes.
-pub const CONNECT: Duration = Duration::from_millis(12);
+pub const CONNECT_TIME: Duration = Duration::from_millis(12);
 
 /// Lag of the replicas at the start.
-pub const LAG: Duration = Duration::from_millis(20);
+pub const REPLICA_LAG: Duration = Duration::from_millis(20);
 
 /// Servers of each group.
-pub const SERVERS: usize = 3;
+pub const SERVERS_PER_GROUP: usize = 3;
 
 impl Scenario {
     /// Availability zones.
--- a/components/local/tests/path.rs
+++ b/components/local/tests/path.rs
@@ -54,7 +54,7 @@
     for id in 0..6 {
         if id == 3 {
             let crash = standin::Fault::PrimaryCrash;
-            cluster.groups().fault(GROUP, crash).await.expect("the group has a primary");
+            cluster.groups().inject(GROUP, crash).await.expect("the group has a primary");
         }
         let known = (!token.is_empty()).then_some(token.as_str());
         let client = caller(entries[id % 3], known).await;
--- a/components/soak/src/bench.rs
+++ b/components/soak/src/bench.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use base::prelude::*;
-use load::bench::{Sight, settings as group_settings};
+use load::bench::{Snapshot, settings as group_settings};
 use load::scenario::GROUPS;
 use load::{Bench, Scenario};
 use local::admin;
@@ -43,7 +43,7 @@
 
 /// What the faults act on.
 #[derive(Debug)]
-pub struct Parts {
+pub struct System {
     /// Control members.
     pub controls: Vec<Mutex<Process>>,
     /// Proxies in front of their links.
@@ -64,7 +64,7 @@
     pub scenario: Scenario,
 }
 
-impl Parts {
+impl System {
     /// Number of parts of each kind.
     pub fn sizes(&self) -> Sizes {
         Sizes { controls: CONTROLS, entries: ENTRIES, groups: GROUPS }
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// [`Failure::Heal`].
-    pub async fn ready(&self) -> Result<(), Report<Failure>> {
+    pub async fn wait_ready(&self) -> Result<(), Report<Failure>> {
         let all = async {
             for web in self.webs.iter().chain(&self.admins) {
                 while !admin::is_ready(&self.client, *web).await {
@@ -107,7 +107,7 @@
 /// All parts, and the faults that are put on them.
 #[derive(Debug)]
 pub struct Soak {
-    parts: Arc<Parts>,
+    system: Arc<System>,
     chaos: Option<Chaos>,
 }
 
@@ -141,14 +141,14 @@
 
 /// Where programs and files are.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Paths {
     /// Folder of the programs.
     pub programs: PathBuf,
     /// Folder for data and logs.
     pub folder: PathBuf,
 }
 
-impl Place {
+impl Paths {
     fn process(&self, program: &str, name: &str, arguments: &[(&str, String)]) -> Process {
         let flags = arguments.iter().flat_map(|(flag, value)| [format!("--{flag}"), value.clone()]);
         let arguments = std::iter::once("run".to_owned()).chain(flags).collect();
@@ -163,7 +163,7 @@
     /// # Errors
     /// [`Failure::Start`] or [`Failure::Heal`].
     pub async fn start(
-        place: &Place,
+        paths: &Paths,
         scenario: Scenario,
         seed: u64,
         log: &Logger,
@@ -172,8 +172,8 @@
         let (control, entry) = own.split_at(2 * CONTROLS);
         let (links, admins) = control.split_at(CONTROLS);
         let links = Links { own: links, proxies: proxies(links).await? };
-        let controls = controls(place, &links, admins);
-        let entries = entries(place, &links, entry);
+        let controls = controls(paths, &links, admins);
+        let entries = entries(paths, &links, entry);
         let callers: Vec<_> = entry.iter().step_by(3).copied().collect();
         let mut groups = Vec::new();
         for index in 0..GROUPS {
@@ -181,7 +181,7 @@
             let settings = standin::Settings { controls: admins.to_vec(), ..settings };
             groups.push(Group::start(settings).await.change_context(Failure::Start)?);
         }
-        let parts = Arc::new(Parts {
+        let system = Arc::new(System {
             controls,
             links: links.proxies,
             admins: admins.to_vec(),
@@ -192,18 +192,18 @@
             client: reqwest::Client::new(),
             scenario,
         });
-        parts.restore().await?;
-        let chaos = Some(Chaos::new(Arc::clone(&parts), seed));
-        let soak = Self { parts, chaos };
+        system.restore().await?;
+        let chaos = Some(Chaos::new(Arc::clone(&system), seed));
+        let soak = Self { system, chaos };
         soak.declare().await?;
-        soak.parts.ready().await?;
+        soak.system.wait_ready().await?;
         Ok(soak)
     }
 
     /// Begins to put faults on the parts; they end when the bench heals.
-    pub fn disturb(&mut self) {
+    pub fn start_faults(&mut self) {
         if let Some(chaos) = &mut self.chaos {
-            chaos.begin();
+            chaos.start();
         }
     }
 
@@ -216,10 +216,10 @@
     }
 
     async fn declare(&self) -> Result<(), Report<Failure>> {
-        let Parts { client, admins, scenario, .. } = &*self.parts;
+        let System { client, admins, scenario, .. } = &*self.system;
         let content = scenario.declarations().canonical();
         let change = admin::Change { id: "first", base: 0, content: &content };
-        let told = admin::change(client, admins, change, READY_POLL, READY_TIMEOUT).await;
+        let told = admin::submit(client, admins, change, READY_POLL, READY_TIMEOUT).await;
         let done = told.is_some_and(|status| status.is_success());
         if done { Ok(()) } else { Err(Report::new(Failure::Start)) }
     }
@@ -231,13 +231,13 @@
     proxies: Vec<Proxy>,
 }
 
-fn controls(place: &Place, links: &Links<'_>, admins: &[SocketAddr]) -> Vec<Mutex<Process>> {
+fn controls(paths: &Paths, links: &Links<'_>, admins: &[SocketAddr]) -> Vec<Mutex<Process>> {
     let told = links.proxies.iter().zip(admins).enumerate();
     let peers = told.map(|(index, (link, web))| format!("c{index}={}/{web}", link.address()));
     let peers = peers.collect::<Vec<_>>().join(",");
     let control = |(index, (link, web)): (usize, (&SocketAddr, &SocketAddr))| {
         let name = format!("c{index}");
-        let data = place.folder.join(&name).display().to_string();
+        let data = paths.folder.join(&name).display().to_string();
         let arguments = [
             ("name", name.clone()),
             ("data", data),
@@ -247,12 +247,12 @@
             ("peers", peers.clone()),
             ("log-format", "json".to_owned()),
         ];
-        Mutex::new(place.process("trefoil-control", &name, &arguments))
+        Mutex::new(paths.process("trefoil-control", &name, &arguments))
     };
     links.own.iter().zip(admins).enumerate().map(control).collect()
 }
 
-fn entries(place: &Place, links: &Links<'_>, addresses: &[SocketAddr]) -> Vec<Mutex<Process>> {
+fn entries(paths: &Paths, links: &Links<'_>, addresses: &[SocketAddr]) -> Vec<Mutex<Process>> {
     let controls = links.proxies.iter().map(|proxy| proxy.address().to_string());
     let controls = controls.collect::<Vec<_>>().join(",");
     let entry = |(index, own): (usize, &[SocketAddr])| {
@@ -267,26 +267,26 @@
             ("key", KEY.to_owned()),
             ("log-format", "json".to_owned()),
         ];
-        Mutex::new(place.process("trefoil-entry", &name, &arguments))
+        Mutex::new(paths.process("trefoil-entry", &name, &arguments))
     };
     addresses.chunks(3).enumerate().map(entry).collect()
 }
 
 impl Bench for Soak {
     async fn addresses(&self) -> Vec<Vec<SocketAddr>> {
-        let callers = self.parts.callers.iter().map(Proxy::address).collect();
+        let callers = self.system.callers.iter().map(Proxy::address).collect();
         vec![callers; GROUPS]
     }
 
-    async fn see(&self, group: usize) -> Sight {
-        Sight::of(&self.parts.groups[group])
+    async fn snapshot(&self, group: usize) -> Snapshot {
+        Snapshot::of(&self.system.groups[group])
     }
 
     async fn inject(
         &mut self,
         _fault: load::Fault,
         _group: usize,
-        _turn: usize,
+        _round: usize,
     ) -> Result<(), Report<load::Failure>> {
         // faults are the plan's
         Err(Report::new(load::Failure::Fault))
@@ -294,21 +294,21 @@
 
     async fn heal(&mut self) -> Result<(), Report<load::Failure>> {
         if let Some(chaos) = &mut self.chaos {
-            chaos.end().await;
+            chaos.stop().await;
         }
-        self.parts.restore().await.change_context(load::Failure::Fault)?;
-        self.parts.ready().await.change_context(load::Failure::Fault)
+        self.system.restore().await.change_context(load::Failure::Fault)?;
+        self.system.wait_ready().await.change_context(load::Failure::Fault)
     }
 
     async fn stop(mut self) {
         drop(self.heal().await);
-        for process in self.parts.entries.iter().chain(&self.parts.controls) {
+        for process in self.system.entries.iter().chain(&self.system.controls) {
             process.lock().await.stop().await;
         }
     }
 }
 
 /// A folder for one soak within another.
-pub fn folder(within: &Path, seed: u64) -> PathBuf {
+pub fn seed_folder(within: &Path, seed: u64) -> PathBuf {
     within.join(format!("seed-{seed}"))
 }
--- a/components/soak/src/chaos.rs
+++ b/components/soak/src/chaos.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Mutex;
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::bench::Parts;
+use crate::bench::System;
 use crate::plan::{Fault, Plan, Step, Target};
 use crate::process::Process;
 use crate::proxy::{Mode, Proxy};
@@ -61,7 +61,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    parts: Arc<Parts>,
+    system: Arc<System>,
     faults: Mutex<Vec<String>>,
     acknowledged: AtomicU64,
     /// Faults that are to be taken back.
@@ -69,11 +69,11 @@
 }
 
 impl Chaos {
-    /// Nothing happens before [`Chaos::begin`].
-    pub fn new(parts: Arc<Parts>, seed: u64) -> Self {
-        let plan = Some(Plan::new(seed, parts.sizes()));
+    /// Nothing happens before [`Chaos::start`].
+    pub fn new(system: Arc<System>, seed: u64) -> Self {
+        let plan = Some(Plan::new(seed, system.sizes()));
         let shared = Shared {
-            parts,
+            system,
             faults: Mutex::default(),
             acknowledged: AtomicU64::new(1),
             open: Mutex::default(),
@@ -82,14 +82,14 @@
     }
 
     /// Begins with the plan.
-    pub fn begin(&mut self) {
+    pub fn start(&mut self) {
         if let Some(plan) = self.plan.take() {
             self.task = Some(tokio::spawn(follow(Arc::clone(&self.shared), plan)).abort_handle());
         }
     }
 
     /// Ends the plan and waits until each fault is taken back.
-    pub async fn end(&mut self) {
+    pub async fn stop(&mut self) {
         if let Some(task) = self.task.take() {
             task.abort();
         }
@@ -122,10 +122,10 @@
 }
 
 async fn put(shared: Arc<Shared>, step: Step) {
-    let parts = &shared.parts;
+    let system = &shared.system;
     match step.fault {
         Fault::Signal(target, signal) => {
-            let processes = parts.processes(target);
+            let processes = system.processes(target);
             for process in processes {
                 process.lock().await.signal(signal);
             }
@@ -136,16 +136,16 @@
             }
         }
         Fault::Connections(target, mode) => {
-            let proxies = parts.proxies(target);
+            let proxies = system.proxies(target);
             set(proxies, mode);
             tokio::time::sleep(step.length).await;
             set(proxies, Mode::Pass);
         }
         Fault::Group(group, fault) => {
             // a group that has no primary yet after an earlier fault is passed over
-            drop(parts.groups[group].fault(fault).await);
+            drop(system.groups[group].fault(fault).await);
             tokio::time::sleep(step.length).await;
-            drop(parts.groups[group].fault(standin::Fault::Heal).await);
+            drop(system.groups[group].fault(standin::Fault::Heal).await);
         }
         Fault::Change => shared.change(step.length).await,
     }
@@ -157,7 +157,7 @@
     }
 }
 
-impl Parts {
+impl System {
     fn processes(&self, target: Target) -> &[Mutex<Process>] {
         match target {
             Target::Control(index) => &self.controls[index..=index],
@@ -178,9 +178,9 @@
 impl Shared {
     /// The declarations as a member confirms them.
     async fn current(&self, member: usize) -> Option<Current> {
-        let admin = self.parts.admins[member % self.parts.admins.len()];
+        let admin = self.system.admins[member % self.system.admins.len()];
         let url = format!("http://{admin}/v1/config");
-        let asked = self.parts.client.get(url).timeout(CHANGE_TIMEOUT).send().await.ok()?;
+        let asked = self.system.client.get(url).timeout(CHANGE_TIMEOUT).send().await.ok()?;
         asked.json().await.ok()
     }
 
@@ -189,13 +189,13 @@
     async fn change(&self, spread: Duration) {
         let member = spread.as_millis() as usize;
         let Some(current) = self.current(member).await else { return };
-        let admin = self.parts.admins[(member + 1) % self.parts.admins.len()];
+        let admin = self.system.admins[(member + 1) % self.system.admins.len()];
         let id = format!("change-{}-{member}", current.version);
         let change = serde_json::json!(
             { "change": id, "base": current.version, "content": current.content }
         );
         let url = format!("http://{admin}/v1/changes");
-        let sent = self.parts.client.post(url).timeout(CHANGE_TIMEOUT).json(&change).send().await;
+        let sent = self.system.client.post(url).timeout(CHANGE_TIMEOUT).json(&change).send().await;
         let Ok(answer) = sent else { return };
         if let Ok(Accepted { version }) = answer.json().await {
             self.acknowledged.fetch_max(version, Ordering::Relaxed);
--- a/components/soak/src/plan.rs
+++ b/components/soak/src/plan.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::process::Signal;
-use crate::proxy::{Mode, Way};
+use crate::proxy::{Direction, Mode};
 
 /// Shortest and longest time between two faults, in milliseconds. Most last for
 /// longer, so that they overlap.
@@ -92,8 +92,8 @@
         match self.random.random_range(0..6) {
             0 => Mode::Delay(self.millis((1, DELAY_MS))),
             1 => Mode::Reset,
-            2 => Mode::Hold(Way::In),
-            3 => Mode::Hold(Way::Out),
+            2 => Mode::Hold(Direction::In),
+            3 => Mode::Hold(Direction::Out),
             4 => Mode::Silence,
             _ => Mode::Mute,
         }
--- a/components/soak/src/proxy.rs
+++ b/components/soak/src/proxy.rs
@@ -17,7 +17,7 @@
 
 /// A direction, as the process behind the proxy sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Towards it.
     In,
     /// From it.
@@ -34,7 +34,7 @@
     /// Those that stand are reset, and so are new ones.
     Reset,
     /// Bytes of one direction wait.
-    Hold(Way),
+    Hold(Direction),
     /// All bytes wait.
     Silence,
     /// Those that stand are silent for good; new ones pass.
@@ -118,8 +118,8 @@
     let (far_read, far_write) = far.into_split();
     let mut watched = state.clone();
     tokio::select! {
-        () = pump(near_read, far_write, Way::In, number, state.clone()) => {}
-        () = pump(far_read, near_write, Way::Out, number, state) => {}
+        () = pump(near_read, far_write, Direction::In, number, state.clone()) => {}
+        () = pump(far_read, near_write, Direction::Out, number, state) => {}
         _ = watched.wait_for(|state| state.mode == Mode::Reset) => {}
     }
 }
@@ -134,7 +134,7 @@
 async fn pump(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    way: Way,
+    way: Direction,
     number: u64,
     mut state: watch::Receiver<State>,
 ) {
--- a/components/soak/src/run.rs
+++ b/components/soak/src/run.rs
@@ -5,14 +5,14 @@
 use slog::Logger;
 
 use crate::Failure;
-use crate::bench::{Place, Soak, folder};
+use crate::bench::{Paths, Soak, seed_folder};
 use crate::chaos::Summary;
 
 /// Settings of a soak.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Where programs and files are.
-    pub place: Place,
+    pub paths: Paths,
     /// Seed of callers and faults.
     pub seed: u64,
     /// Length of the traffic with faults.
@@ -29,13 +29,13 @@
     /// What callers were told against what the groups hold.
     pub verdict: Verdict,
     /// The faults, and the declarations.
-    pub told: Summary,
+    pub summary: Summary,
 }
 
 impl Outcome {
     /// Whether a promise was broken.
-    pub fn is_broken(&self) -> bool {
-        self.verdict.is_broken() || self.told.is_reverted()
+    pub fn has_violation(&self) -> bool {
+        self.verdict.has_violation() || self.summary.is_reverted()
     }
 }
 
@@ -44,12 +44,12 @@
 /// # Errors
 /// [`Failure`]; a broken promise is told by the outcome.
 pub async fn run(settings: &Settings, log: &Logger) -> Result<Outcome, Report<Failure>> {
-    let folder = folder(&settings.place.folder, settings.seed);
+    let folder = seed_folder(&settings.paths.folder, settings.seed);
     std::fs::create_dir_all(&folder).change_context(Failure::Start)?;
-    let place = Place { folder, ..settings.place.clone() };
+    let paths = Paths { folder, ..settings.paths.clone() };
     let scenario = Scenario::Lakeshore;
-    let mut soak = Soak::start(&place, scenario, settings.seed, log).await?;
-    soak.disturb();
+    let mut soak = Soak::start(&paths, scenario, settings.seed, log).await?;
+    soak.start_faults();
     let load = load::Settings {
         scenario,
         fault: load::Fault::None,
@@ -60,7 +60,7 @@
         seed: settings.seed,
     };
     let verdict = load::run(&mut soak, &load, &|_, _| {}).await;
-    let told = soak.report().await;
+    let summary = soak.report().await;
     soak.stop().await;
-    Ok(Outcome { verdict: verdict.change_context(Failure::Load)?, told })
+    Ok(Outcome { verdict: verdict.change_context(Failure::Load)?, summary })
 }
--- a/programs/trefoil-load/src/cmd/run.rs
+++ b/programs/trefoil-load/src/cmd/run.rs
@@ -8,8 +8,8 @@
 use base::prelude::*;
 use indicatif::{ProgressBar, ProgressStyle};
 use load::run::Phase;
-use load::verdict::Spread;
-use load::{Baseline, Bench, Direct, Fault, Settings, Verdict, Whole};
+use load::verdict::Percentiles;
+use load::{Baseline, Bench, Direct, Fault, Proxied, Settings, Verdict};
 use slog::{Logger, error};
 
 use crate::cli::Arguments;
@@ -55,7 +55,7 @@
         .and_then(|runtime| runtime.block_on(measure(arguments, &log)))
         .and_then(|verdict| print(&verdict, arguments.json).map(|()| verdict));
     match verdict {
-        Ok(verdict) if verdict.is_broken() => ExitCode::from(BROKEN),
+        Ok(verdict) if verdict.has_violation() => ExitCode::from(BROKEN),
         Ok(_) => ExitCode::SUCCESS,
         Err(report) => {
             error!(log, "failed"; "error" => ?report);
@@ -84,7 +84,7 @@
         let bench = Direct::start(scenario, seed, log).await.change_context(Failure::Bench)?;
         watched(bench, &settings).await
     } else {
-        let bench = Whole::start(scenario, seed, log).await.change_context(Failure::Bench)?;
+        let bench = Proxied::start(scenario, seed, log).await.change_context(Failure::Bench)?;
         watched(bench, &settings).await
     };
     let mut verdict = verdict?;
@@ -95,7 +95,7 @@
 async fn direct_latencies(
     arguments: &Arguments,
     log: &Logger,
-) -> Result<BTreeMap<String, Spread>, Report<Failure>> {
+) -> Result<BTreeMap<String, Percentiles>, Report<Failure>> {
     let mut bench = Direct::start(arguments.scenario, arguments.seed, log)
         .await
         .change_context(Failure::Bench)?;
--- a/programs/trefoil-soak/src/cmd.rs
+++ b/programs/trefoil-soak/src/cmd.rs
@@ -5,7 +5,7 @@
 
 use base::prelude::*;
 use slog::Logger;
-use soak::bench::Place;
+use soak::bench::Paths;
 use soak::{Failure, Outcome, Settings};
 
 use crate::cli::Options;
@@ -33,7 +33,7 @@
     let mut code = 0;
     for seed in options.seed..options.seed + options.seeds {
         let settings = Settings {
-            place: Place { programs: programs.clone(), folder: folder.clone() },
+            paths: Paths { programs: programs.clone(), folder: folder.clone() },
             seed,
             length: Duration::from_secs(options.seconds),
             callers: options.callers,
@@ -52,7 +52,7 @@
     match soak::run(settings, log).await {
         Ok(outcome) => {
             print(settings.seed, &outcome);
-            u8::from(outcome.is_broken()) * BROKEN
+            u8::from(outcome.has_violation()) * BROKEN
         }
         Err(report) => {
             failed(settings.seed, &report);
@@ -62,19 +62,19 @@
 }
 
 fn print(seed: u64, outcome: &Outcome) {
-    let Outcome { verdict, told } = outcome;
+    let Outcome { verdict, summary } = outcome;
     println!(
         "seed {seed}: {}, {} faults, {} writes acknowledged, {} in doubt, {} changes",
-        if outcome.is_broken() { "BROKEN" } else { "kept" },
-        told.faults.len(),
+        if outcome.has_violation() { "BROKEN" } else { "kept" },
+        summary.faults.len(),
         verdict.acked,
         verdict.outcome_unknown,
-        told.version,
+        summary.version,
     );
-    if outcome.is_broken() {
+    if outcome.has_violation() {
         println!("{verdict:?}");
-        println!("declarations: {} acknowledged, {} held", told.acknowledged, told.version);
-        println!("{}", told.faults.join("\n"));
+        println!("declarations: {} acknowledged, {} held", summary.acknowledged, summary.version);
+        println!("{}", summary.faults.join("\n"));
     }
 }
 
--- a/programs/trefoilctl/tests/cluster.rs
+++ b/programs/trefoilctl/tests/cluster.rs
@@ -96,7 +96,7 @@
     'tries: for _ in 0..TRIES {
         let before = status(cluster.admins()[0]).await;
         let group = before.groups.iter().find(|group| group.name == GROUP).unwrap();
-        if cluster.groups().fault(GROUP, standin::Fault::PrimaryCrash).await.is_err() {
+        if cluster.groups().inject(GROUP, standin::Fault::PrimaryCrash).await.is_err() {
             sleep(POLL).await;
             continue;
         }
@@ -104,7 +104,7 @@
         // asked of each member, so that followers pass the question on
         for admin in cluster.admins() {
             let Some(failover) = told(admin, &before, group.term).await else {
-                cluster.groups().fault(GROUP, standin::Fault::Heal).await.unwrap();
+                cluster.groups().inject(GROUP, standin::Fault::Heal).await.unwrap();
                 continue 'tries;
             };
             all.push(failover);
