--- a/components/load/src/lib.rs
+++ b/components/load/src/lib.rs
@@ -1,15 +1,19 @@
-//! Callers that put load on database groups, faults, and the oracle that
-//! checks what callers were told against what the groups hold.
+//! Load generator with fault injection for database groups, and an oracle that
+//! compares the answers that callers received with the rows that the groups hold.
 //!
-//! - [`scenario`]: the users' workloads, sizes and declarations.
-//! - [`bench`]: what the load runs against, and the faults it can suffer.
-//! - [`whole`]: the whole path as a bench.
-//! - [`client`]: one connection of a caller, and what an answer means.
-//! - [`caller`]: one caller's session, which roams between entries.
-//! - [`pulse`]: a steady writer for each group, which dates what reads show.
+//! - [`scenario`]: workloads with their sizes and declarations.
+//! - [`bench`]: systems under load, and the faults injected into them.
+//! - [`proxied`]: entries, control members and groups as a system under load.
+//! - [`client`]: a caller's connection, and the classification of answers.
+//! - [`caller`]: a caller's session, which moves between entries.
+//! - [`writer`]: a steady writer for each group, from which the age of read data is
+//!   checked.
+//! - [`shared`]: state that all callers of a run share.
 //! - [`run`]: the phases of a run.
-//! - [`oracle`]: the check at the end.
-//! - [`verdict`]: the result.
+//! - [`overload`]: the overload phase, which measures fairness between services.
+//! - [`oracle`]: the consistency check at the end of a run.
+//! - [`verdict`]: the result of a run.
+//! - [`failure`]: failures that prevent a run from completing.
 
 pub mod bench;
 pub mod caller;
@@ -17,16 +21,16 @@
 pub mod failure;
 pub mod oracle;
 pub mod overload;
-pub mod pulse;
+pub mod proxied;
 pub mod run;
 pub mod scenario;
 pub mod shared;
 pub mod verdict;
-pub mod whole;
+pub mod writer;
 
 pub use bench::{Bench, Direct, Fault};
 pub use failure::Failure;
+pub use proxied::Proxied;
 pub use run::{Baseline, Settings, run};
 pub use scenario::Scenario;
 pub use verdict::Verdict;
-pub use whole::Whole;
--- a/components/load/src/oracle.rs
+++ b/components/load/src/oracle.rs
@@ -1,54 +1,58 @@
-//! The check at the end: what callers were told against what groups hold.
+//! The consistency check at the end of a run: compares the answers that callers
+//! received with the rows that the groups hold.
 
 use std::collections::HashMap;
 
 use base::prelude::*;
 
-use crate::bench::{Bench, Sight};
-use crate::caller::{Journal, Told};
+use crate::bench::{Bench, Snapshot};
+use crate::caller::{Journal, Outcome};
 use crate::client::{self, Answer, Connection};
 use crate::failure::Failure;
 use crate::verdict::Verdict;
 
-const CONVERGENCE: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(20);
-const AUDITOR: &str = "trefoil_probe";
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const AUDIT_USER: &str = "trefoil_probe";
 
 /// Rows of one group at the end.
 #[derive(Debug, Default)]
 pub struct Rows {
-    /// How often each request ran.
+    /// Number of rows for each request id, which is how often the request ran.
     pub requests: HashMap<String, u64>,
-    /// Last value of each session's counter.
+    /// Final value of each session's counter.
     pub counters: HashMap<usize, u64>,
-    /// Sum over all accounts.
+    /// Sum of the payments over all accounts.
     pub paid: u64,
 }
 
-/// Waits until all servers of a group hold and show the same records.
+/// Waits until all servers of a group hold and have applied the same records.
 ///
 /// # Errors
-/// [`Failure::Convergence`].
-pub async fn settle(bench: &impl Bench, group: usize) -> Result<Sight, Report<Failure>> {
-    let settled = async {
+/// [`Failure::Convergence`] after 30 seconds.
+pub async fn wait_convergence(
+    bench: &impl Bench,
+    group: usize,
+) -> Result<Snapshot, Report<Failure>> {
+    let converged = async {
         loop {
-            let sight = bench.see(group).await;
-            if alike(&sight.statuses) {
-                return sight;
+            let snapshot = bench.snapshot(group).await;
+            if has_converged(&snapshot.statuses) {
+                return snapshot;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    match tokio::time::timeout(CONVERGENCE, settled).await {
-        Ok(sight) => Ok(sight),
+    match tokio::time::timeout(CONVERGENCE_TIMEOUT, converged).await {
+        Ok(snapshot) => Ok(snapshot),
         Err(_elapsed) => {
-            let sight = bench.see(group).await;
-            Err(Report::new(Failure::Convergence).attach(format!("{:#?}", sight.statuses)))
+            let snapshot = bench.snapshot(group).await;
+            Err(Report::new(Failure::Convergence).attach(format!("{:#?}", snapshot.statuses)))
         }
     }
 }
 
-fn alike(statuses: &[Status]) -> bool {
+fn has_converged(statuses: &[Status]) -> bool {
     let primary = statuses.iter().find(|status| status.role == Role::Primary);
     primary.is_some_and(|primary| {
         statuses.iter().all(|status| {
@@ -62,15 +66,16 @@
 /// Reads all rows from a group's primary.
 ///
 /// # Errors
-/// [`Failure::Audit`].
-pub async fn read(sight: &Sight) -> Result<Rows, Report<Failure>> {
-    let address = sight.primary.ok_or(Failure::Audit)?;
-    // probes find a connection free also when callers hold all others
-    let connection = client::connect(address, AUDITOR, AUDITOR, None).await;
+/// [`Failure::Audit`] when there is no primary or a query fails.
+pub async fn read(snapshot: &Snapshot) -> Result<Rows, Report<Failure>> {
+    let address = snapshot.primary.ok_or(Failure::Audit)?;
+    // servers exempt this user from their connection limit, so that the check can
+    // connect while callers hold all connections
+    let connection = client::connect(address, AUDIT_USER, AUDIT_USER, None).await;
     let connection = connection.ok_or(Failure::Audit)?;
-    let requests = ask(&connection, "SELECT id, count(*) FROM requests GROUP BY id").await?;
-    let counters = ask(&connection, "SELECT session, value FROM counters").await?;
-    let paid = ask(&connection, "SELECT sum(paid) FROM accounts").await?;
+    let requests = query(&connection, "SELECT id, count(*) FROM requests GROUP BY id").await?;
+    let counters = query(&connection, "SELECT session, value FROM counters").await?;
+    let paid = query(&connection, "SELECT sum(paid) FROM accounts").await?;
     let number = |text: &String| text.parse::<u64>().change_context(Failure::Audit);
     let mut rows = Rows::default();
     for row in requests {
@@ -85,14 +90,15 @@
     Ok(rows)
 }
 
-async fn ask(connection: &Connection, query: &str) -> Result<Vec<Vec<String>>, Report<Failure>> {
-    match connection.ask(query).await {
+async fn query(connection: &Connection, sql: &str) -> Result<Vec<Vec<String>>, Report<Failure>> {
+    match connection.query(sql).await {
         Answer::Done(rows) => Ok(rows),
         _ => Err(Report::new(Failure::Audit)),
     }
 }
 
-/// Checks the journals of a group's callers against its rows.
+/// Checks the journals of a group's callers against its rows and adds the result
+/// to the verdict.
 pub fn check<'a>(rows: &Rows, journals: impl Iterator<Item = &'a Journal>, verdict: &mut Verdict) {
     let mut payments = 0;
     for journal in journals {
@@ -106,14 +112,14 @@
 fn check_journal(rows: &Rows, journal: &Journal, verdict: &mut Verdict) {
     for record in &journal.records {
         let ran = rows.requests.get(&record.id).copied().unwrap_or_default();
-        verdict.acked += u64::from(record.told == Told::Acked);
-        verdict.acked_lost += u64::from(record.told == Told::Acked && ran == 0);
-        verdict.not_run_but_ran += u64::from(record.told == Told::NotRun && ran > 0);
+        verdict.acked += u64::from(record.outcome == Outcome::Acked);
+        verdict.acked_lost += u64::from(record.outcome == Outcome::Acked && ran == 0);
+        verdict.not_run_but_ran += u64::from(record.outcome == Outcome::NotRun && ran > 0);
         verdict.doubled += u64::from(ran > 1);
     }
     let counter = rows.counters.get(&journal.session).copied().unwrap_or_default();
-    verdict.acked += journal.counters;
-    verdict.acked_lost += u64::from(counter < journal.counter);
+    verdict.acked += journal.acked_updates;
+    verdict.acked_lost += u64::from(counter < journal.acked_counter);
     verdict.ryw_violations += journal.ryw_violations;
     verdict.mixed_answers += journal.mixed_answers;
     verdict.stale_beyond_age += journal.stale;
--- a/components/soak/src/run.rs
+++ b/components/soak/src/run.rs
@@ -1,55 +1,57 @@
-//! One soak and what came of it.
+//! One soak and its outcome.
 
 use base::prelude::*;
 use load::{Baseline, Bench as _, Scenario, Verdict};
 use slog::Logger;
 
 use crate::Failure;
-use crate::bench::{Place, Soak, folder};
+use crate::bench::{Paths, Soak, seed_folder};
 use crate::chaos::Summary;
 
 /// Settings of a soak.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where programs and files are.
-    pub place: Place,
-    /// Seed of callers and faults.
+    /// Folder of the programs, and folder for data and logs.
+    pub paths: Paths,
+    /// Seed of the callers and the faults.
     pub seed: u64,
-    /// Length of the traffic with faults.
+    /// Duration of the traffic with faults.
     pub length: Duration,
-    /// Number of sessions.
+    /// Number of caller sessions.
     pub callers: usize,
     /// Mean time between an answer and the session's next request.
     pub think: Duration,
 }
 
-/// What came of a soak.
+/// The outcome of a soak.
 #[derive(Debug)]
 pub struct Outcome {
-    /// What callers were told against what the groups hold.
+    /// Result of the load's consistency check.
     pub verdict: Verdict,
-    /// The faults, and the declarations.
-    pub told: Summary,
+    /// Injected faults, and the version of the declarations.
+    pub summary: Summary,
 }
 
 impl Outcome {
-    /// Whether a promise was broken.
-    pub fn is_broken(&self) -> bool {
-        self.verdict.is_broken() || self.told.is_reverted()
+    /// Whether a guarantee was violated, or an acknowledged change of the
+    /// declarations was lost.
+    pub fn has_violation(&self) -> bool {
+        self.verdict.has_violation() || self.summary.is_reverted()
     }
 }
 
 /// Runs one soak.
 ///
 /// # Errors
-/// [`Failure`]; a broken promise is told by the outcome.
+/// [`Failure`] when the soak cannot be completed. A violated guarantee is not an
+/// error; the outcome reports violations.
 pub async fn run(settings: &Settings, log: &Logger) -> Result<Outcome, Report<Failure>> {
-    let folder = folder(&settings.place.folder, settings.seed);
+    let folder = seed_folder(&settings.paths.folder, settings.seed);
     std::fs::create_dir_all(&folder).change_context(Failure::Start)?;
-    let place = Place { folder, ..settings.place.clone() };
+    let paths = Paths { folder, ..settings.paths.clone() };
     let scenario = Scenario::Lakeshore;
-    let mut soak = Soak::start(&place, scenario, settings.seed, log).await?;
-    soak.disturb();
+    let mut soak = Soak::start(&paths, scenario, settings.seed, log).await?;
+    soak.start_faults();
     let load = load::Settings {
         scenario,
         fault: load::Fault::None,
@@ -60,7 +62,7 @@
         seed: settings.seed,
     };
     let verdict = load::run(&mut soak, &load, &|_, _| {}).await;
-    let told = soak.report().await;
+    let summary = soak.report().await;
     soak.stop().await;
-    Ok(Outcome { verdict: verdict.change_context(Failure::Load)?, told })
+    Ok(Outcome { verdict: verdict.change_context(Failure::Load)?, summary })
 }
