--- a/components/entry/src/front/admit.rs
+++ b/components/entry/src/front/admit.rs
@@ -3,7 +3,7 @@
 use config::model::Class;
 use config::{Declarations, Rule};
 use control::State;
-use pg::scan::{Scan, Statement, Verb, beginning};
+use pg::scan::{Scan, Statement, Verb, strip_leading_comments};
 
 use std::sync::Arc;
 
@@ -74,7 +74,7 @@
     if !scan.statements.iter().all(plain) || !(single || scan.tag.is_some()) {
         return Rule::UNDECLARED;
     }
-    state.declarations.rule(service, group, scan.tag.as_deref(), beginning(text))
+    state.declarations.rule(service, group, scan.tag.as_deref(), strip_leading_comments(text))
 }
 
 /// Converts a class to its form on the link to keepers.
--- a/components/entry/src/front/caller.rs
+++ b/components/entry/src/front/caller.rs
@@ -68,17 +68,17 @@
                 }
                 Step::Flush(messages) => {
                     if Box::pin(self.run_part(messages)).await? {
-                        self.protocol.skip();
+                        self.protocol.skip_to_sync();
                     }
                 }
-                Step::Refuse(problem) => self.fail(&problem).await,
-                Step::Reject(problem) => {
+                Step::Error(problem) => self.fail(&problem).await,
+                Step::ErrorReady(problem) => {
                     self.fail(&problem).await;
                     self.write_ready();
                 }
                 Step::Recover => self.write_ready(),
                 Step::Terminate => return Ok(()),
-                Step::Break(problem) => {
+                Step::Fatal(problem) => {
                     self.conn.output.fatal(&problem);
                     return Err(Report::new(Disconnect::Protocol));
                 }
@@ -140,7 +140,7 @@
             }
         };
         if matches!(self.session.transaction, Transaction::None) {
-            self.session.prepared.settle();
+            self.session.prepared.release_slots();
         }
         Ok(failed)
     }
@@ -148,8 +148,8 @@
     /// Answers a flushed part of a cycle, or fails if the part can't be run separately
     /// from the rest of its cycle. Returns whether the part failed.
     async fn run_part(&mut self, messages: Vec<Message>) -> Result<bool, Report<Disconnect>> {
-        let survey = self.session.prepared.survey(&messages);
-        if survey.is_separable(!matches!(self.session.transaction, Transaction::None)) {
+        let lookup = self.session.prepared.look_up(&messages);
+        if lookup.is_separable(!matches!(self.session.transaction, Transaction::None)) {
             return self.run_cycle(Cycle::Extended(messages)).await;
         }
         self.fail(&Feature::Flush.into()).await;
@@ -177,7 +177,7 @@
             return Ok(Handled::Answered);
         }
         // as in PostgreSQL, a simple query drops the unnamed statement
-        self.session.prepared.apply(&pg::prepared::Change::Drop(String::new()));
+        self.session.prepared.apply(&pg::prepared::Change::Remove(String::new()));
         let admission = self.admit(std::iter::once((text, &scan)))?;
         let plan = Plan { payload, ..Plan::default() };
         Ok(Handled::Run(Work { plan, admission, commits: scan.commits() }))
@@ -189,10 +189,10 @@
         if messages.is_empty() {
             return Ok(Handled::Answered);
         }
-        let survey = self.session.prepared.survey(&messages);
-        let scans = || survey.statements.iter().map(|statement| &statement.scan);
+        let lookup = self.session.prepared.look_up(&messages);
+        let scans = || lookup.statements.iter().map(|statement| &statement.scan);
         if matches!(self.session.transaction, Transaction::RolledBack) {
-            if survey.statements.is_empty() || !scans().all(Scan::ends) {
+            if lookup.statements.is_empty() || !scans().all(Scan::ends) {
                 return Err(failed_transaction());
             }
             return Ok(self.answer_local(&messages));
@@ -208,10 +208,10 @@
             return Ok(self.answer_local(&messages));
         }
         let commits = scans().any(Scan::commits);
-        let texts = survey.statements.iter();
+        let texts = lookup.statements.iter();
         let admission =
             self.admit(texts.map(|statement| (statement.text.as_str(), &statement.scan)))?;
-        let plan = self.session.prepared.plan(messages, survey)?;
+        let plan = self.session.prepared.plan(messages, lookup)?;
         if plan.payload.len() > MAX_BYTES {
             return Err(Problem::new(Code::Limit, "the request is too long; it was not run"));
         }
@@ -230,7 +230,7 @@
     }
 
     fn check_supported(&self, scan: &Scan) -> Result<(), Problem> {
-        match scan.refused(self.session.transaction.is_open()) {
+        match scan.refusal(self.session.transaction.is_open()) {
             Some(feature) => Err(feature.into()),
             None => Ok(()),
         }
--- a/components/entry/src/front/cancels.rs
+++ b/components/entry/src/front/cancels.rs
@@ -4,7 +4,7 @@
 use std::collections::hash_map::Entry;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use pg::startup::Target;
+use pg::startup::CancelKey;
 use rand::RngExt as _;
 
 use super::link::Link;
@@ -32,7 +32,7 @@
     pub fn add(self: &Arc<Self>) -> Session {
         let running = Running::default();
         loop {
-            let target = Target { process: rand::rng().random(), secret: rand::rng().random() };
+            let target = CancelKey { process: rand::rng().random(), secret: rand::rng().random() };
             if let Entry::Vacant(free) = self.shard(target.process).entry(target.process) {
                 free.insert((target.secret, Arc::clone(&running)));
                 return Session { target, running, cancels: Arc::clone(self) };
@@ -42,7 +42,7 @@
 
     /// Cancels the request that a session is running. An unknown target or a wrong
     /// secret has no effect.
-    pub async fn cancel(&self, target: Target) {
+    pub async fn cancel(&self, target: CancelKey) {
         let running = {
             let shard = self.shard(target.process);
             shard.get(&target.process).and_then(|(secret, running)| {
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct Session {
     /// Process number and secret of the session.
-    pub target: Target,
+    pub target: CancelKey,
     running: Running,
     cancels: Arc<Cancels>,
 }
--- a/components/entry/src/front/local.rs
+++ b/components/entry/src/front/local.rs
@@ -78,7 +78,7 @@
         match message {
             Message::Parse(parse) => {
                 let statement = Arc::new(Statement::from(parse));
-                self.session.prepared.apply(&Change::Keep(text(&parse.name), statement));
+                self.session.prepared.apply(&Change::Insert(text(&parse.name), statement));
                 self.conn.output.parsed();
             }
             Message::Bind(bind) => {
@@ -103,7 +103,7 @@
             }
             Message::Close(target, name) => {
                 if *target == Target::Statement {
-                    self.session.prepared.apply(&Change::Drop(name.clone()));
+                    self.session.prepared.apply(&Change::Remove(name.clone()));
                 } else {
                     portals.remove(name);
                 }
--- a/components/entry/src/front/login.rs
+++ b/components/entry/src/front/login.rs
@@ -179,7 +179,7 @@
     }
     output.parameter("session_authorization", start.get("user").unwrap_or_default());
     output.parameter(setting::APPLICATION, &caller.session.application);
-    output.key(caller.session.cancel.target);
+    output.cancel_key(caller.session.cancel.target);
     caller.report_token();
     caller.write_ready();
 }
--- a/components/entry/src/front/plain.rs
+++ b/components/entry/src/front/plain.rs
@@ -14,7 +14,7 @@
 
 use std::sync::Arc;
 
-use ::plain::{Answer, Ask, Dialect, Problem, Status};
+use ::plain::{Answer, Dialect, Problem, Request, Status};
 use base::prelude::*;
 use slog::debug;
 use tokio::net::TcpStream;
@@ -48,16 +48,16 @@
 /// Reads and answers the first message. Returns the database that the caller named,
 /// or `None` if the connection is to be closed.
 async fn start(front: &Front, conn: &mut Conn) -> Result<Option<Name>, Report<Disconnect>> {
-    let ask = conn.next().await?;
+    let request = conn.next().await?;
     wait_for_lease(front).await;
-    let known = match &ask {
-        Some(Ask::Start { database }) => {
+    let known = match &request {
+        Some(Request::Start { database }) => {
             let known = |state: &control::State| {
                 state.declarations.databases.get_key_value(database.as_str()).map(|d| d.0.clone())
             };
             front.view.read(known)
         }
-        Some(Ask::Query(_) | Ask::Terminate) | None => {
+        Some(Request::Query(_) | Request::Terminate) | None => {
             conn.put(&Answer::Problem(Problem::Malformed));
             return Ok(None);
         }
--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ::plain::{Access, Answer, Ask, Problem, Query, Statement, Status};
+use ::plain::{Access, Answer, Problem, Query, Request, Statement, Status};
 use base::prelude::*;
 use bytes::Bytes;
 use config::Database;
@@ -94,13 +94,13 @@
 
     async fn serve_messages(&mut self) -> Result<(), Report<Disconnect>> {
         loop {
-            let Some(ask) = self.next().await? else {
+            let Some(request) = self.next().await? else {
                 return self.conn.flush().await;
             };
-            match ask {
-                Ask::Query(query) => self.query(query).await?,
-                Ask::Terminate => return Ok(()),
-                Ask::Start { .. } => {
+            match request {
+                Request::Query(query) => self.query(query).await?,
+                Request::Terminate => return Ok(()),
+                Request::Start { .. } => {
                     self.conn.put(&Answer::Problem(Problem::Malformed));
                     return self.conn.flush().await;
                 }
@@ -109,10 +109,10 @@
     }
 
     /// Returns the next message, or `None` if the session is to end.
-    async fn next(&mut self) -> Result<Option<Ask>, Report<Disconnect>> {
+    async fn next(&mut self) -> Result<Option<Request>, Report<Disconnect>> {
         loop {
             match self.conn.take() {
-                Ok(Some(ask)) => return Ok(Some(ask)),
+                Ok(Some(request)) => return Ok(Some(request)),
                 Ok(None) => {}
                 Err(_malformed) => {
                     self.conn.put(&Answer::Problem(Problem::Malformed));
--- a/components/entry/src/front/plain/conn.rs
+++ b/components/entry/src/front/plain/conn.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ::plain::{Answer, Ask, Dialect, Malformed};
+use ::plain::{Answer, Dialect, Malformed, Request};
 use base::prelude::*;
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,8 +32,8 @@
     }
 
     /// Decodes the next buffered message, if it is complete.
-    pub(super) fn take(&mut self) -> Result<Option<Ask>, Report<Malformed>> {
-        self.dialect.ask(&mut self.input)
+    pub(super) fn take(&mut self) -> Result<Option<Request>, Report<Malformed>> {
+        self.dialect.decode_request(&mut self.input)
     }
 
     /// Whether no input is buffered.
@@ -43,10 +43,10 @@
 
     /// Returns the next message, and reads until it is complete; `None` if the input is
     /// malformed.
-    pub(super) async fn next(&mut self) -> Result<Option<Ask>, Report<Disconnect>> {
+    pub(super) async fn next(&mut self) -> Result<Option<Request>, Report<Disconnect>> {
         loop {
             match self.take() {
-                Ok(Some(ask)) => return Ok(Some(ask)),
+                Ok(Some(request)) => return Ok(Some(request)),
                 Ok(None) => self.fill().await?,
                 Err(_malformed) => return Ok(None),
             }
@@ -64,7 +64,7 @@
     }
 
     pub(super) fn put(&mut self, answer: &Answer) {
-        self.dialect.answer(answer, &mut self.output);
+        self.dialect.encode_answer(answer, &mut self.output);
     }
 
     pub(super) async fn flush(&mut self) -> Result<(), Report<Disconnect>> {
--- a/components/entry/src/front/run.rs
+++ b/components/entry/src/front/run.rs
@@ -56,14 +56,14 @@
             sink: Answer {
                 conn: &mut self.conn,
                 cancel: &self.session.cancel,
-                filter: Filter::new(&work.plan.due),
+                filter: Filter::new(&work.plan.expected),
             },
         };
         let result = match open {
             Some(link) => dispatch.attempt(&link).await.map(|attempt| (attempt, Some(link))),
             None => dispatch.try_keepers().await,
         };
-        let failed = dispatch.sink.filter.failed();
+        let failed = dispatch.sink.filter.has_error();
         let trace = std::mem::take(&mut dispatch.run.trace);
         let running = self.session.cancel.set_running(None);
         match result {
@@ -276,6 +276,6 @@
     }
 
     fn own_answers(&self) -> usize {
-        self.filter.own()
+        self.filter.own_answers()
     }
 }
--- a/components/entry/src/keep/plain.rs
+++ b/components/entry/src/keep/plain.rs
@@ -167,7 +167,7 @@
     async fn start(&mut self, start: Order) -> Result<Option<Mark>, Report<Failure>> {
         self.send(&start).await?;
         loop {
-            match self.dialect.reply(&mut self.input).change_context(Failure::Disorder)? {
+            match self.dialect.decode_reply(&mut self.input).change_context(Failure::Disorder)? {
                 Some(Reply::Ready { mark, .. }) => return Ok(mark),
                 Some(Reply::Error { .. }) => return Err(Report::new(Failure::Refused)),
                 Some(_) => return Err(Report::new(Failure::Disorder)),
@@ -189,7 +189,7 @@
                 filled = fill(&mut self.io, &mut self.input) => {
                     filled?;
                     while let Some(reply) =
-                        self.dialect.reply(&mut self.input).change_context(Failure::Disorder)?
+                        self.dialect.decode_reply(&mut self.input).change_context(Failure::Disorder)?
                     {
                         self.handle_reply(reply).await?;
                     }
@@ -365,7 +365,7 @@
 
     async fn send(&mut self, order: &Order) -> Result<(), Report<Failure>> {
         let mut bytes = BytesMut::new();
-        self.dialect.order(order, &mut bytes);
+        self.dialect.encode_order(order, &mut bytes);
         self.io.write_all(&bytes).await.change_context(Failure::Io)
     }
 
--- a/components/pg/src/answer.rs
+++ b/components/pg/src/answer.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::code::Problem;
-use crate::startup::Target;
+use crate::startup::CancelKey;
 
 /// Object id of the type `text`.
 const TEXT: u32 = 25;
@@ -95,8 +95,8 @@
     }
 
     /// Tells the number and secret by which the session can be cancelled.
-    pub fn key(&mut self, target: Target) {
-        self.put(&BackendKeyData::new(target.process, SecretKey::I32(target.secret)));
+    pub fn cancel_key(&mut self, key: CancelKey) {
+        self.put(&BackendKeyData::new(key.process, SecretKey::I32(key.secret)));
     }
 
     /// Tells the value of a setting.
--- a/components/pg/src/client.rs
+++ b/components/pg/src/client.rs
@@ -16,10 +16,10 @@
 pub enum Failure {
     /// No message has this kind.
     #[strum(to_string = "the kind of a message is unknown")]
-    Kind,
+    UnknownKind,
     /// Its body does not have the shape of its kind.
     #[strum(to_string = "a message is malformed")]
-    Shape,
+    Malformed,
     /// A text in it is not UTF-8.
     #[strum(to_string = "a text is not UTF-8")]
     Encoding,
@@ -60,7 +60,7 @@
     /// A password or a step of SASL.
     Password(Bytes),
     /// Data of a COPY, or a call of a function by number.
-    Uncarried,
+    Unsupported,
 }
 
 impl Message {
@@ -110,8 +110,8 @@
             b'H' => body.end().map(|()| Self::Flush)?,
             b'X' => body.end().map(|()| Self::Terminate)?,
             b'p' => Self::Password(frame.bytes.slice(HEAD_BYTES..)),
-            b'd' | b'c' | b'f' | b'F' => Self::Uncarried,
-            _ => return Err(Report::new(Failure::Kind)),
+            b'd' | b'c' | b'f' | b'F' => Self::Unsupported,
+            _ => return Err(Report::new(Failure::UnknownKind)),
         };
         Ok(message)
     }
@@ -121,7 +121,7 @@
     let context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
     let mut bytes = BytesMut::from(frame.bytes.as_ref());
     let message = M::decode(&mut bytes, &context).ok().flatten();
-    message.ok_or_else(|| Report::new(Failure::Shape))
+    message.ok_or_else(|| Report::new(Failure::Malformed))
 }
 
 struct Cursor<'a> {
@@ -130,7 +130,7 @@
 
 impl Cursor<'_> {
     fn text(&mut self) -> Result<(), Report<Failure>> {
-        let end = self.rest.iter().position(|byte| *byte == 0).ok_or(Failure::Shape)?;
+        let end = self.rest.iter().position(|byte| *byte == 0).ok_or(Failure::Malformed)?;
         if std::str::from_utf8(&self.rest[..end]).is_err() {
             return Err(Report::new(Failure::Encoding));
         }
@@ -140,14 +140,14 @@
 
     fn skip(&mut self, bytes: usize) -> Result<(), Report<Failure>> {
         if self.rest.len() < bytes {
-            return Err(Report::new(Failure::Shape));
+            return Err(Report::new(Failure::Malformed));
         }
         self.rest.advance(bytes);
         Ok(())
     }
 
     fn count(&mut self) -> Result<usize, Report<Failure>> {
-        let head = self.rest.first_chunk::<2>().ok_or(Failure::Shape)?;
+        let head = self.rest.first_chunk::<2>().ok_or(Failure::Malformed)?;
         let count = u16::from_be_bytes(*head);
         self.rest.advance(2);
         Ok(usize::from(count))
@@ -159,13 +159,13 @@
     }
 
     fn value(&mut self) -> Result<(), Report<Failure>> {
-        let head = self.rest.first_chunk::<4>().ok_or(Failure::Shape)?;
+        let head = self.rest.first_chunk::<4>().ok_or(Failure::Malformed)?;
         let length = i32::from_be_bytes(*head);
         self.rest.advance(4);
         match usize::try_from(length) {
             Ok(length) => self.skip(length),
             Err(_) if length == -1 => Ok(()),
-            Err(_) => Err(Report::new(Failure::Shape)),
+            Err(_) => Err(Report::new(Failure::Malformed)),
         }
     }
 
@@ -183,7 +183,7 @@
         let target = match self.rest.first() {
             Some(b'S') => Target::Statement,
             Some(b'P') => Target::Portal,
-            _ => return Err(Report::new(Failure::Shape)),
+            _ => return Err(Report::new(Failure::Malformed)),
         };
         self.rest.advance(1);
         self.text()?;
@@ -191,6 +191,6 @@
     }
 
     fn end(&self) -> Result<(), Report<Failure>> {
-        if self.rest.is_empty() { Ok(()) } else { Err(Report::new(Failure::Shape)) }
+        if self.rest.is_empty() { Ok(()) } else { Err(Report::new(Failure::Malformed)) }
     }
 }
--- a/components/pg/src/cycle.rs
+++ b/components/pg/src/cycle.rs
@@ -42,15 +42,15 @@
     /// The answers to these messages are asked for before their cycle ends.
     Flush(Vec<Message>),
     /// An error is due now; messages up to the next Sync are passed over.
-    Refuse(Problem),
+    Error(Problem),
     /// An error is due now, and the cycle ends with it.
-    Reject(Problem),
+    ErrorReady(Problem),
     /// The Sync after an error: the cycle ends.
     Recover,
     /// The caller ends the session.
     Terminate,
     /// The protocol is broken: the session ends with an error.
-    Break(Problem),
+    Fatal(Problem),
 }
 
 /// A caller's side of the protocol after login.
@@ -75,7 +75,7 @@
     }
 
     /// Passes over the messages up to the next Sync, after an error.
-    pub fn skip(&mut self) {
+    pub fn skip_to_sync(&mut self) {
         drop(self.take());
         self.skipping = true;
     }
@@ -100,11 +100,11 @@
             }
             Message::Query(query) => self.query(query.query, frame.bytes.clone()),
             Message::Password(_) => {
-                Step::Break(Problem::new(Code::Protocol, "a password is due at login only"))
+                Step::Fatal(Problem::new(Code::Protocol, "a password is due at login only"))
             }
-            Message::Uncarried if frame.kind == b'F' => Step::Break(Feature::FunctionCall.into()),
+            Message::Unsupported if frame.kind == b'F' => Step::Fatal(Feature::FunctionCall.into()),
             // what is left of a COPY that was refused
-            Message::Uncarried => Step::Wait,
+            Message::Unsupported => Step::Wait,
             message => self.extend(message, frame.bytes.len()),
         }
     }
@@ -123,8 +123,8 @@
     }
 
     fn refuse(&mut self, problem: Problem) -> Step {
-        self.skip();
-        Step::Refuse(problem)
+        self.skip_to_sync();
+        Step::Error(problem)
     }
 
     fn query(&mut self, text: String, bytes: Bytes) -> Step {
@@ -134,10 +134,10 @@
             let message = "a Query before the Sync of the messages before it is not carried";
             drop(self.take());
             // its sender waits for the end of a cycle, and may never send the Sync
-            return Step::Reject(Problem::new(Code::Feature, message));
+            return Step::ErrorReady(Problem::new(Code::Feature, message));
         }
         if bytes.len() > MAX_BYTES {
-            return Step::Reject(too_long());
+            return Step::ErrorReady(too_long());
         }
         Step::Run(Cycle::Query { text, bytes })
     }
@@ -155,9 +155,9 @@
 fn wrong(failure: Failure) -> Step {
     let code = match failure {
         Failure::Encoding => Code::Encoding,
-        Failure::Kind | Failure::Shape => Code::Protocol,
+        Failure::UnknownKind | Failure::Malformed => Code::Protocol,
     };
-    Step::Break(Problem::new(code, failure.to_string()))
+    Step::Fatal(Problem::new(code, failure.to_string()))
 }
 
 fn too_long() -> Problem {
--- a/components/pg/src/filter.rs
+++ b/components/pg/src/filter.rs
@@ -13,15 +13,15 @@
 use crate::frame;
 
 /// Answer to a Parse.
-pub const PARSED: u8 = b'1';
+pub const PARSE_COMPLETE: u8 = b'1';
 
 /// Answer to a Close.
-pub const CLOSED: u8 = b'3';
+pub const CLOSE_COMPLETE: u8 = b'3';
 
 /// An answer that is due, in its order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due {
-    /// [`PARSED`] or [`CLOSED`].
+pub struct Expected {
+    /// [`PARSE_COMPLETE`] or [`CLOSE_COMPLETE`].
     pub kind: u8,
     /// Whether the caller asked for it.
     pub own: bool,
@@ -45,15 +45,15 @@
 /// Filters the answer to one cycle.
 #[derive(Debug)]
 pub struct Filter<'a> {
-    due: &'a [Due],
+    expected: &'a [Expected],
     own: usize,
     failed: bool,
 }
 
 impl<'a> Filter<'a> {
     /// Makes the filter of a cycle to which these answers are due.
-    pub fn new(due: &'a [Due]) -> Self {
-        Self { due, own: 0, failed: false }
+    pub fn new(expected: &'a [Expected]) -> Self {
+        Self { expected, own: 0, failed: false }
     }
 
     /// Takes whole messages and returns those that the caller is to get.
@@ -79,25 +79,25 @@
     }
 
     /// Number of own answers that were passed on, in order.
-    pub fn own(&self) -> usize {
+    pub fn own_answers(&self) -> usize {
         self.own
     }
 
     /// Whether an error was passed on.
-    pub fn failed(&self) -> bool {
+    pub fn has_error(&self) -> bool {
         self.failed
     }
 
     fn keeps(&mut self, kind: u8) -> Result<bool, Report<Mismatch>> {
         match kind {
-            PARSED | CLOSED => {
-                let (due, rest) = self.due.split_first().ok_or(Mismatch)?;
-                if due.kind != kind {
+            PARSE_COMPLETE | CLOSE_COMPLETE => {
+                let (expected, rest) = self.expected.split_first().ok_or(Mismatch)?;
+                if expected.kind != kind {
                     return Err(Report::new(Mismatch));
                 }
-                self.due = rest;
-                self.own += usize::from(due.own);
-                Ok(due.own)
+                self.expected = rest;
+                self.own += usize::from(expected.own);
+                Ok(expected.own)
             }
             b'E' => {
                 self.failed = true;
--- a/components/pg/src/prepared.rs
+++ b/components/pg/src/prepared.rs
@@ -17,7 +17,7 @@
 
 use crate::client::{Message, Target};
 use crate::code::{Code, Problem};
-use crate::filter::{CLOSED, Due, PARSED};
+use crate::filter::{CLOSE_COMPLETE, Expected, PARSE_COMPLETE};
 use crate::scan::Scan;
 
 /// Most statements that one caller may keep.
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A statement is prepared.
-    Keep(String, Arc<Statement>),
+    Insert(String, Arc<Statement>),
     /// A statement is closed.
-    Drop(String),
+    Remove(String),
     /// A portal is closed.
     None,
 }
@@ -66,14 +66,14 @@
     /// Client messages up to Query or Sync.
     pub payload: Bytes,
     /// Answers that are due, in order.
-    pub due: Vec<Due>,
-    /// What each own answer of [`Plan::due`] changes, in order.
+    pub expected: Vec<Expected>,
+    /// What each own answer of [`Plan::expected`] changes, in order.
     pub changes: Vec<Change>,
 }
 
 /// The statements that a cycle uses.
 #[derive(Debug, Default)]
-pub struct Survey {
+pub struct Lookup {
     /// Each of them, in the order of use.
     pub statements: Vec<Arc<Statement>>,
     /// Those that the cycle itself prepares, in order.
@@ -91,33 +91,33 @@
     Execute(String),
 }
 
-impl Survey {
+impl Lookup {
     /// Whether a Sync after it changes nothing: it leaves no portal and runs
-    /// nothing outside a transaction. `within` tells whether one is open.
-    pub fn is_separable(&self, within: bool) -> bool {
-        let mut within = within;
+    /// nothing outside a transaction. `in_transaction` tells whether one is open.
+    pub fn is_separable(&self, in_transaction: bool) -> bool {
+        let mut in_transaction = in_transaction;
         let mut portals = BTreeMap::new();
         for portal in &self.uses {
             match portal {
                 Use::Bind(name, statement) => {
                     portals.insert(name, &statement.scan);
-                    if !within && !statement.scan.begins() {
+                    if !in_transaction && !statement.scan.begins() {
                         return false;
                     }
                 }
                 Use::Execute(name) => match portals.get(name) {
-                    Some(scan) if scan.begins() => within = true,
+                    Some(scan) if scan.begins() => in_transaction = true,
                     Some(scan) if scan.ends() => {
-                        within = false;
+                        in_transaction = false;
                         portals.clear();
                     }
                     // a portal of an earlier cycle
-                    None if !within => return false,
+                    None if !in_transaction => return false,
                     Some(_) | None => {}
                 },
             }
         }
-        within || portals.is_empty()
+        in_transaction || portals.is_empty()
     }
 }
 
@@ -153,12 +153,12 @@
     /// Keeps or drops a statement.
     pub fn apply(&mut self, change: &Change) {
         match change {
-            Change::Keep(name, statement) => {
+            Change::Insert(name, statement) => {
                 self.remove(name);
                 self.bytes += name.len() + statement.text.len();
                 self.statements.insert(name.clone(), Arc::clone(statement));
             }
-            Change::Drop(name) => self.remove(name),
+            Change::Remove(name) => self.remove(name),
             Change::None => {}
         }
     }
@@ -170,7 +170,7 @@
     }
 
     /// Tells that no transaction is open: slots may be used again.
-    pub fn settle(&mut self) {
+    pub fn release_slots(&mut self) {
         self.slots = 0;
     }
 
@@ -181,14 +181,14 @@
     }
 
     /// Looks up the statements that a cycle uses.
-    pub fn survey(&self, messages: &[Message]) -> Survey {
-        let mut survey = Survey::default();
+    pub fn look_up(&self, messages: &[Message]) -> Lookup {
+        let mut lookup = Lookup::default();
         let mut names: BTreeMap<&str, Option<Arc<Statement>>> = BTreeMap::new();
         for message in messages {
             let name = match message {
                 Message::Parse(parse) => {
                     let statement = Arc::new(Statement::from(parse));
-                    survey.own.push_back(Arc::clone(&statement));
+                    lookup.own.push_back(Arc::clone(&statement));
                     let name = parse.name.as_deref().unwrap_or_default();
                     names.insert(name, Some(statement));
                     name
@@ -200,7 +200,7 @@
                     continue;
                 }
                 Message::Execute(execute) => {
-                    survey.uses.push(Use::Execute(execute.name.clone().unwrap_or_default()));
+                    lookup.uses.push(Use::Execute(execute.name.clone().unwrap_or_default()));
                     continue;
                 }
                 _ => continue,
@@ -211,21 +211,21 @@
             };
             if let Message::Bind(bind) = message {
                 let portal = bind.portal_name.clone().unwrap_or_default();
-                survey.uses.push(Use::Bind(portal, Arc::clone(&statement)));
+                lookup.uses.push(Use::Bind(portal, Arc::clone(&statement)));
             }
-            survey.statements.push(statement);
+            lookup.statements.push(statement);
         }
-        survey
+        lookup
     }
 
-    /// Plans the messages of an extended cycle, after [`Prepared::survey`].
+    /// Plans the messages of an extended cycle, after [`Prepared::look_up`].
     ///
     /// # Errors
     /// [`Code::Limit`] when the caller keeps too many statements.
-    pub fn plan(&mut self, messages: Vec<Message>, survey: Survey) -> Result<Plan, Problem> {
+    pub fn plan(&mut self, messages: Vec<Message>, lookup: Lookup) -> Result<Plan, Problem> {
         let mut draft = Draft {
             prepared: self,
-            own: survey.own,
+            own: lookup.own,
             names: BTreeMap::new(),
             payload: BytesMut::new(),
             plan: Plan::default(),
@@ -268,7 +268,7 @@
             Message::Close(Target::Statement, name) => {
                 let slot = self.names.remove(&name).unwrap_or_else(|| self.slot());
                 self.close(TARGET_TYPE_BYTE_STATEMENT, slot, true);
-                self.plan.changes.push(Change::Drop(name));
+                self.plan.changes.push(Change::Remove(name));
             }
             Message::Close(Target::Portal, name) => {
                 self.close(TARGET_TYPE_BYTE_PORTAL, name, true);
@@ -280,7 +280,7 @@
             | Message::Flush
             | Message::Terminate
             | Message::Password(_)
-            | Message::Uncarried => {}
+            | Message::Unsupported => {}
         }
         Ok(())
     }
@@ -297,9 +297,9 @@
         let statement = self.own.pop_front();
         let statement = statement.unwrap_or_else(|| Arc::new(Statement::from(&parse)));
         self.put(&Parse::new(Some(slot.clone()), parse.query, parse.type_oids));
-        self.plan.due.push(Due { kind: PARSED, own: true });
+        self.plan.expected.push(Expected { kind: PARSE_COMPLETE, own: true });
         self.names.insert(name.clone(), slot);
-        self.plan.changes.push(Change::Keep(name, statement));
+        self.plan.changes.push(Change::Insert(name, statement));
         Ok(())
     }
 
@@ -316,8 +316,8 @@
     /// What a name means at this place of the cycle.
     fn current(&self, name: &str) -> Option<Arc<Statement>> {
         let staged = self.plan.changes.iter().rev().find_map(|change| match change {
-            Change::Keep(kept, statement) if kept == name => Some(Some(Arc::clone(statement))),
-            Change::Drop(dropped) if dropped == name => Some(None),
+            Change::Insert(kept, statement) if kept == name => Some(Some(Arc::clone(statement))),
+            Change::Remove(dropped) if dropped == name => Some(None),
             _ => None,
         });
         staged.unwrap_or_else(|| self.prepared.get(name).cloned())
@@ -334,7 +334,7 @@
         if let Some(statement) = self.current(name) {
             let types = statement.types.clone();
             self.put(&Parse::new(Some(slot.clone()), statement.text.clone(), types));
-            self.plan.due.push(Due { kind: PARSED, own: false });
+            self.plan.expected.push(Expected { kind: PARSE_COMPLETE, own: false });
             self.names.insert(name.to_owned(), slot.clone());
         }
         slot
@@ -348,7 +348,7 @@
 
     fn close(&mut self, target: u8, name: String, own: bool) {
         self.put(&Close::new(target, Some(name)));
-        self.plan.due.push(Due { kind: CLOSED, own });
+        self.plan.expected.push(Expected { kind: CLOSE_COMPLETE, own });
     }
 
     fn put(&mut self, message: &impl pgwire::messages::Message) {
--- a/components/pg/src/scan.rs
+++ b/components/pg/src/scan.rs
@@ -13,7 +13,7 @@
 use crate::setting::{self, Local};
 
 /// Key of the comment that names the kind of a request.
-pub const KIND: &str = "kind";
+pub const KIND_KEY: &str = "kind";
 
 /// Features that a shared connection can't carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
@@ -102,7 +102,7 @@
     /// Goes to a backend server.
     Remote(Verb),
     /// Goes to a backend server in a transaction, else is refused.
-    Within(Feature),
+    InTransaction(Feature),
     /// Is answered by the front.
     Local(Local),
     /// Is refused.
@@ -137,13 +137,13 @@
         Self { statements, tag }
     }
 
-    /// The first reason to refuse it. `within` tells whether a transaction is open.
-    pub fn refused(&self, within: bool) -> Option<Feature> {
+    /// The first reason to refuse it. `in_transaction` tells whether a transaction is open.
+    pub fn refusal(&self, in_transaction: bool) -> Option<Feature> {
         let begins = |statement: &Statement| matches!(statement, Statement::Remote(Verb::Begin));
-        let within = within || self.statements.first().is_some_and(begins);
+        let in_transaction = in_transaction || self.statements.first().is_some_and(begins);
         let refused = self.statements.iter().find_map(|statement| match statement {
             Statement::Refused(feature) => Some(*feature),
-            Statement::Within(feature) if !within => Some(*feature),
+            Statement::InTransaction(feature) if !in_transaction => Some(*feature),
             _ => None,
         });
         refused.or_else(|| self.is_mixed().then_some(Feature::Mixed))
@@ -184,7 +184,7 @@
 }
 
 /// The text from its first word on, without comments before it.
-pub fn beginning(text: &str) -> &str {
+pub fn strip_leading_comments(text: &str) -> &str {
     let mut rest = text.trim_start();
     loop {
         let after = if let Some(comment) = rest.strip_prefix("/*") {
@@ -290,7 +290,9 @@
             "set_config" if called && !is_local_config(&tokens[index..]) => {
                 Some(Statement::Refused(Feature::Setting))
             }
-            "currval" | "lastval" if called => Some(Statement::Within(Feature::SequenceState)),
+            "currval" | "lastval" if called => {
+                Some(Statement::InTransaction(Feature::SequenceState))
+            }
             _ if called && is_session_lock(&name) => {
                 Some(Statement::Refused(Feature::AdvisoryLock))
             }
@@ -320,11 +322,11 @@
     false
 }
 
-/// The value of [`KIND`] in a comment of the sqlcommenter form.
+/// The value of [`KIND_KEY`] in a comment of the sqlcommenter form.
 fn kind(comment: &str) -> Option<String> {
     comment.split(',').find_map(|pair| {
         let (key, value) = pair.trim().split_once('=')?;
-        if decode(key.trim())? != KIND {
+        if decode(key.trim())? != KIND_KEY {
             return None;
         }
         let value = value.trim().strip_prefix('\'')?.strip_suffix('\'')?;
--- a/components/pg/src/startup.rs
+++ b/components/pg/src/startup.rs
@@ -25,7 +25,7 @@
     Length,
     /// It can't be read.
     #[strum(to_string = "the start-up packet can't be read")]
-    Garbled,
+    Malformed,
 }
 
 impl std::error::Error for Failure {}
@@ -38,14 +38,14 @@
     /// Asks for GSSAPI encryption.
     Gss,
     /// Asks to cancel what a session runs.
-    Cancel(Target),
+    Cancel(CancelKey),
     /// Starts a session.
     Start(Start),
 }
 
 /// The session that a cancel request names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Target {
+pub struct CancelKey {
     /// Number of the session.
     pub process: i32,
     /// Its secret.
@@ -83,7 +83,7 @@
     }
 }
 
-impl fmt::Display for Target {
+impl fmt::Display for CancelKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.process)
     }
@@ -118,17 +118,17 @@
     let context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
     if CancelRequest::is_cancel_request_packet(packet) {
         if packet.len() != CANCEL_BYTES {
-            return Err(Report::new(Failure::Garbled));
+            return Err(Report::new(Failure::Malformed));
         }
-        let request = CancelRequest::decode(packet, &context).change_context(Failure::Garbled)?;
-        let request = request.ok_or(Failure::Garbled)?;
-        let secret = request.secret_key.as_i32().ok_or(Failure::Garbled)?;
-        return Ok(Packet::Cancel(Target { process: request.pid, secret }));
+        let request = CancelRequest::decode(packet, &context).change_context(Failure::Malformed)?;
+        let request = request.ok_or(Failure::Malformed)?;
+        let secret = request.secret_key.as_i32().ok_or(Failure::Malformed)?;
+        return Ok(Packet::Cancel(CancelKey { process: request.pid, secret }));
     }
     if packet.last() != Some(&0) {
-        return Err(Report::new(Failure::Garbled));
+        return Err(Report::new(Failure::Malformed));
     }
-    let start = Startup::decode(packet, &context).change_context(Failure::Garbled)?;
-    let start = start.ok_or(Failure::Garbled)?;
+    let start = Startup::decode(packet, &context).change_context(Failure::Malformed)?;
+    let start = start.ok_or(Failure::Malformed)?;
     Ok(Packet::Start(Start { minor: start.protocol_number_minor, parameters: start.parameters }))
 }
--- a/components/pg/tests/cycles.rs
+++ b/components/pg/tests/cycles.rs
@@ -105,16 +105,16 @@
 ) -> Result<Answer> {
     let plan = match cycle {
         Cycle::Query { bytes, .. } => {
-            model.prepared.apply(&pg::prepared::Change::Drop(String::new()));
+            model.prepared.apply(&pg::prepared::Change::Remove(String::new()));
             pg::prepared::Plan { payload: bytes, ..Default::default() }
         }
         Cycle::Extended(messages) => {
-            let survey = model.prepared.survey(&messages);
-            model.prepared.plan(messages, survey).unwrap()
+            let lookup = model.prepared.look_up(&messages);
+            model.prepared.plan(messages, lookup).unwrap()
         }
     };
     let mut answer = server.run(plan.payload.clone());
-    let mut filter = Filter::new(&plan.due);
+    let mut filter = Filter::new(&plan.expected);
     let mut passed = BytesMut::new();
     let mut part = BytesMut::new();
     while let Some(frame) = frame::next(&mut answer).unwrap() {
@@ -125,13 +125,13 @@
             }
         }
     }
-    for change in &plan.changes[..filter.own()] {
+    for change in &plan.changes[..filter.own_answers()] {
         model.prepared.apply(change);
     }
     if server.status == Status::Idle {
-        model.prepared.settle();
+        model.prepared.release_slots();
     }
-    Ok(Answer { bytes: passed.freeze(), failed: filter.failed() })
+    Ok(Answer { bytes: passed.freeze(), failed: filter.has_error() })
 }
 
 /// Runs a cycle whose answers are asked for in parts; the messages up to a part
@@ -153,9 +153,9 @@
             Step::Wait | Step::Recover => continue,
             Step::Run(cycle) => cycle,
             Step::Flush(messages) => {
-                let within = server.status != Status::Idle;
-                if !model.prepared.survey(&messages).is_separable(within) {
-                    model.caller.skip();
+                let in_transaction = server.status != Status::Idle;
+                if !model.prepared.look_up(&messages).is_separable(in_transaction) {
+                    model.caller.skip_to_sync();
                     (waiting, over) = (BytesMut::new(), true);
                     continue;
                 }
@@ -167,7 +167,7 @@
         let answer = run(u, model, server, cycle)?;
         passed.extend_from_slice(&answer.bytes);
         if answer.failed && frame.kind == b'H' {
-            model.caller.skip();
+            model.caller.skip_to_sync();
             over = true;
         }
     }
@@ -227,7 +227,7 @@
             let mut caller = Caller::new();
             let mut input = BytesMut::from(u.bytes(u.len().min(512))?);
             while let Ok(Some(frame)) = frame::take(&mut input) {
-                if matches!(caller.on(&frame), Step::Break(_) | Step::Terminate) {
+                if matches!(caller.on(&frame), Step::Fatal(_) | Step::Terminate) {
                     break;
                 }
             }
@@ -252,11 +252,11 @@
             let (mut caller, mut input) = (Caller::new(), BytesMut::from(bytes.as_slice()));
             while let Ok(Some(frame)) = frame::take(&mut input) {
                 match caller.on(&frame) {
-                    Step::Break(_) | Step::Terminate => break,
+                    Step::Fatal(_) | Step::Terminate => break,
                     Step::Run(Cycle::Extended(messages)) => {
                         let mut prepared = Prepared::new();
-                        let survey = prepared.survey(&messages);
-                        drop(prepared.plan(messages, survey));
+                        let lookup = prepared.look_up(&messages);
+                        drop(prepared.plan(messages, lookup));
                     }
                     _ => {}
                 }
--- a/components/pg/tests/scan.rs
+++ b/components/pg/tests/scan.rs
@@ -1,7 +1,7 @@
 //! What texts of SQL ask for.
 
 use pg::Scan;
-use pg::scan::{Feature, Statement, Verb, beginning};
+use pg::scan::{Feature, Statement, Verb, strip_leading_comments};
 use pg::setting::Local;
 
 fn local(text: &str) -> Option<Local> {
@@ -12,7 +12,7 @@
 }
 
 fn refused(text: &str) -> Option<Feature> {
-    Scan::new(text).refused(false)
+    Scan::new(text).refusal(false)
 }
 
 #[test]
@@ -32,7 +32,7 @@
     assert_eq!(tag("/*db='x',kind='seat%2Dmap'*/ select 1"), Some("seat-map".to_owned()));
     assert_eq!(tag("select '/*kind=''seat-map''*/'"), None);
     assert_eq!(tag("select 1 /*kind='%zz'*/"), None);
-    assert_eq!(beginning(" /* a */ -- b\n select 1"), "select 1");
+    assert_eq!(strip_leading_comments(" /* a */ -- b\n select 1"), "select 1");
 }
 
 #[test]
@@ -99,7 +99,7 @@
     ] {
         assert_eq!(refused(text), None, "{text}");
     }
-    assert_eq!(Scan::new("select lastval()").refused(true), None);
+    assert_eq!(Scan::new("select lastval()").refusal(true), None);
 }
 
 #[test]
--- a/components/plain/src/dialect.rs
+++ b/components/plain/src/dialect.rs
@@ -7,7 +7,7 @@
 
 use crate::answer::Answer;
 use crate::server::{Order, Reply};
-use crate::statement::Ask;
+use crate::statement::Request;
 
 /// Bytes that can't be read; the connection is of no use after them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,17 +28,17 @@
     ///
     /// # Errors
     /// [`Malformed`], also for a message that is too long.
-    fn ask(&self, input: &mut BytesMut) -> Result<Option<Ask>, Report<Malformed>>;
+    fn decode_request(&self, input: &mut BytesMut) -> Result<Option<Request>, Report<Malformed>>;
 
     /// Puts a message to a caller into bytes.
-    fn answer(&self, answer: &Answer, out: &mut BytesMut);
+    fn encode_answer(&self, answer: &Answer, out: &mut BytesMut);
 
     /// Puts a message to a server into bytes.
-    fn order(&self, order: &Order, out: &mut BytesMut);
+    fn encode_order(&self, order: &Order, out: &mut BytesMut);
 
     /// Takes the next whole message of a server out of its bytes.
     ///
     /// # Errors
     /// [`Malformed`], also for a message that is too long.
-    fn reply(&self, input: &mut BytesMut) -> Result<Option<Reply>, Report<Malformed>>;
+    fn decode_reply(&self, input: &mut BytesMut) -> Result<Option<Reply>, Report<Malformed>>;
 }
--- a/components/plain/src/lib.rs
+++ b/components/plain/src/lib.rs
@@ -14,4 +14,4 @@
 pub use answer::{Answer, Problem, Status};
 pub use dialect::{Dialect, Malformed};
 pub use server::{Fault, Order, Reply};
-pub use statement::{Access, Ask, Query, Statement};
+pub use statement::{Access, Query, Request, Statement};
--- a/components/plain/src/server.rs
+++ b/components/plain/src/server.rs
@@ -103,7 +103,8 @@
     /// Not run: no prepared statement of that name.
     Unprepared,
     /// No session: another server answers at the address.
-    Stranger,
+    #[strum(serialize = "stranger")]
+    WrongServer,
     /// No session: too many connections.
     Full,
     /// It ran, or may have.
--- a/components/plain/src/statement.rs
+++ b/components/plain/src/statement.rs
@@ -4,7 +4,7 @@
 
 /// One message of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Request {
     /// Begin a session on a database. The first message, and only that.
     Start {
         /// Name of the database.
