--- a/components/pg/src/answer.rs
+++ b/components/pg/src/answer.rs
@@ -1,4 +1,4 @@
-//! Messages that the front writes itself.
+//! Messages that the front itself sends to a caller.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use pgwire::messages::data::{
@@ -15,26 +15,26 @@
 use crate::code::Problem;
 use crate::startup::CancelKey;
 
-/// Object id of the type `text`.
-const TEXT: u32 = 25;
+/// Object id of the type `text` in PostgreSQL.
+const TEXT_OID: u32 = 25;
 
 const FATAL: &str = "FATAL";
 const ERROR: &str = "ERROR";
 
-/// Status of a session's transaction.
+/// Transaction status of a session, as ReadyForQuery reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Status {
-    /// None is open.
+    /// No transaction is open.
     #[default]
     Idle,
-    /// One is open.
+    /// A transaction is open.
     Open,
-    /// One is open and has failed.
+    /// A transaction is open and has failed.
     Failed,
 }
 
 impl Status {
-    /// The status from the byte of a ReadyForQuery.
+    /// Reads the status byte of a ReadyForQuery message.
     pub fn from_byte(byte: u8) -> Option<Self> {
         match byte {
             b'I' => Some(Self::Idle),
@@ -45,34 +45,34 @@
     }
 }
 
-/// Messages on their way to a caller.
+/// Buffer of encoded messages to a caller.
 #[derive(Debug, Default)]
 pub struct Writer {
     buffer: BytesMut,
 }
 
 impl Writer {
-    /// Makes an empty writer.
+    /// Creates an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Bytes that wait.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no byte is buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Takes all that waits and the memory that held it.
+    /// Returns all buffered bytes and releases the memory of the buffer.
     pub fn take(&mut self) -> Bytes {
         std::mem::take(&mut self.buffer).freeze()
     }
 
-    /// Adds whole messages.
+    /// Appends complete messages that are already encoded.
     pub fn raw(&mut self, messages: &[u8]) {
         self.buffer.extend_from_slice(messages);
     }
@@ -84,27 +84,28 @@
         }
     }
 
-    /// Adds a step of the login.
+    /// Appends an authentication message.
     pub fn authentication(&mut self, step: &Authentication) {
         self.put(step);
     }
 
-    /// Tells which version of the protocol is spoken, and which options are not.
+    /// Appends a NegotiateProtocolVersion: the minor version is 0, and the `unknown`
+    /// protocol options are not supported.
     pub fn negotiate(&mut self, unknown: Vec<String>) {
         self.put(&NegotiateProtocolVersion::new(0, unknown));
     }
 
-    /// Tells the number and secret by which the session can be cancelled.
+    /// Appends a BackendKeyData with the key that cancels requests of the session.
     pub fn cancel_key(&mut self, key: CancelKey) {
         self.put(&BackendKeyData::new(key.process, SecretKey::I32(key.secret)));
     }
 
-    /// Tells the value of a setting.
+    /// Appends a ParameterStatus with the value of a setting.
     pub fn parameter(&mut self, name: &str, value: &str) {
         self.put(&ParameterStatus::new(name.to_owned(), value.to_owned()));
     }
 
-    /// Ends a cycle.
+    /// Appends a ReadyForQuery, which ends a cycle.
     pub fn ready(&mut self, status: Status) {
         let status = match status {
             Status::Idle => TransactionStatus::Idle,
@@ -114,12 +115,12 @@
         self.put(&ReadyForQuery::new(status));
     }
 
-    /// Tells of an error in a statement.
+    /// Appends the error of a statement.
     pub fn error(&mut self, problem: &Problem) {
         self.problem(ERROR, problem);
     }
 
-    /// Tells of an error that ends the session.
+    /// Appends an error that ends the session.
     pub fn fatal(&mut self, problem: &Problem) {
         self.problem(FATAL, problem);
     }
@@ -137,38 +138,38 @@
         self.put(&ErrorResponse::new(fields));
     }
 
-    /// Answers a Parse.
+    /// Appends the answer to a Parse.
     pub fn parsed(&mut self) {
         self.put(&ParseComplete::new());
     }
 
-    /// Answers a Bind.
+    /// Appends the answer to a Bind.
     pub fn bound(&mut self) {
         self.put(&BindComplete::new());
     }
 
-    /// Answers a Close.
+    /// Appends the answer to a Close.
     pub fn closed(&mut self) {
         self.put(&CloseComplete::new());
     }
 
-    /// Tells that a statement has no parameters.
+    /// Appends the description of a statement without parameters.
     pub fn parameters(&mut self) {
         self.put(&ParameterDescription::new(Vec::new()));
     }
 
-    /// Describes one column of text, or none.
+    /// Appends the description of rows with one text column, or NoData for `None`.
     pub fn column(&mut self, name: Option<&str>) {
         match name {
             Some(name) => {
-                let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT, -1, -1, 0);
+                let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
                 self.put(&RowDescription::new(vec![field]));
             }
             None => self.put(&NoData::new()),
         }
     }
 
-    /// Adds a row of one text.
+    /// Appends a row with one text column.
     pub fn row(&mut self, value: &str) {
         let mut data = BytesMut::with_capacity(4 + value.len());
         data.put_u32(value.len() as u32);
@@ -176,12 +177,12 @@
         self.put(&DataRow::new(data, 1));
     }
 
-    /// Ends a statement.
+    /// Appends a CommandComplete with a command tag such as `SET`.
     pub fn complete(&mut self, tag: &str) {
         self.put(&CommandComplete::new(tag.to_owned()));
     }
 
-    /// Ends an empty statement.
+    /// Appends the answer to an empty query.
     pub fn empty(&mut self) {
         self.put(&EmptyQueryResponse::new());
     }
--- a/components/pg/src/client.rs
+++ b/components/pg/src/client.rs
@@ -1,7 +1,7 @@
-//! A caller's messages, checked and decoded.
+//! Validation and decoding of the messages of a caller.
 //!
-//! The decoders of `pgwire` trust each count and read past a message's end, so
-//! the shape of a message is checked before one is called.
+//! The decoders of `pgwire` trust every count and read past the end of a message, so
+//! the structure of a message is checked before its decoder is called.
 
 use bytes::{Buf, Bytes, BytesMut};
 use error_stack::Report;
@@ -11,104 +11,104 @@
 
 use crate::frame::{Frame, HEAD_BYTES};
 
-/// What is wrong with a message.
+/// Error in a message of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// No message has this kind.
+    /// The kind byte belongs to no message of a caller.
     #[strum(to_string = "the kind of a message is unknown")]
     UnknownKind,
-    /// Its body does not have the shape of its kind.
+    /// The body does not have the structure that its kind requires.
     #[strum(to_string = "a message is malformed")]
     Malformed,
-    /// A text in it is not UTF-8.
+    /// A string of the message is not UTF-8.
     #[strum(to_string = "a text is not UTF-8")]
     Encoding,
 }
 
 impl std::error::Error for Failure {}
 
-/// What a prepared object is.
+/// Kind of object that a Describe or Close refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A statement.
+    /// Prepared statement.
     Statement,
-    /// A portal.
+    /// Portal.
     Portal,
 }
 
-/// A message after login.
+/// Message that a caller sends during or after login.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    /// Runs a text.
+    /// Runs SQL text with the simple protocol.
     Query(Query),
     /// Prepares a statement.
     Parse(Parse),
-    /// Binds a statement's parameters to a portal.
+    /// Binds parameters to a statement, which makes a portal.
     Bind(Bind),
-    /// Describes a statement or portal.
+    /// Describes the statement or portal of a name.
     Describe(Target, String),
     /// Runs a portal.
     Execute(Execute),
-    /// Closes a statement or portal.
+    /// Closes the statement or portal of a name.
     Close(Target, String),
     /// Ends a cycle.
     Sync,
-    /// Asks for what was answered so far.
+    /// Requests the answers to all messages so far, without ending the cycle.
     Flush,
     /// Ends the session.
     Terminate,
-    /// A password or a step of SASL.
+    /// Password or SASL response.
     Password(Bytes),
-    /// Data of a COPY, or a call of a function by number.
+    /// COPY data, or a function call by object id; neither is supported.
     Unsupported,
 }
 
 impl Message {
-    /// Checks and decodes a message.
+    /// Validates and decodes a message.
     ///
     /// # Errors
-    /// Each [`Failure`].
+    /// Any [`Failure`].
     pub fn decode(frame: &Frame) -> Result<Self, Report<Failure>> {
         let mut body = Cursor { rest: frame.body() };
         let message = match frame.kind {
             b'Q' => {
-                body.text()?;
-                body.end()?;
-                Self::Query(decoded(frame)?)
+                body.check_text()?;
+                body.check_end()?;
+                Self::Query(decode(frame)?)
             }
             b'P' => {
-                body.text()?;
-                body.text()?;
-                body.numbers(4)?;
-                body.end()?;
-                Self::Parse(decoded(frame)?)
+                body.check_text()?;
+                body.check_text()?;
+                body.skip_array(4)?;
+                body.check_end()?;
+                Self::Parse(decode(frame)?)
             }
             b'B' => {
-                body.bind()?;
-                body.end()?;
-                Self::Bind(decoded(frame)?)
+                body.check_bind()?;
+                body.check_end()?;
+                Self::Bind(decode(frame)?)
             }
             b'D' => {
-                let target = body.target()?;
-                body.end()?;
-                let describe: Describe = decoded(frame)?;
+                let target = body.read_target()?;
+                body.check_end()?;
+                let describe: Describe = decode(frame)?;
                 Self::Describe(target, describe.name.unwrap_or_default())
             }
             b'C' => {
-                let target = body.target()?;
-                body.end()?;
-                let close: Close = decoded(frame)?;
+                let target = body.read_target()?;
+                body.check_end()?;
+                let close: Close = decode(frame)?;
                 Self::Close(target, close.name.unwrap_or_default())
             }
             b'E' => {
-                body.text()?;
+                body.check_text()?;
                 body.skip(4)?;
-                body.end()?;
-                Self::Execute(decoded(frame)?)
+                body.check_end()?;
+                Self::Execute(decode(frame)?)
             }
-            b'S' => body.end().map(|()| Self::Sync)?,
-            b'H' => body.end().map(|()| Self::Flush)?,
-            b'X' => body.end().map(|()| Self::Terminate)?,
+            b'S' => body.check_end().map(|()| Self::Sync)?,
+            b'H' => body.check_end().map(|()| Self::Flush)?,
+            b'X' => body.check_end().map(|()| Self::Terminate)?,
             b'p' => Self::Password(frame.bytes.slice(HEAD_BYTES..)),
             b'd' | b'c' | b'f' | b'F' => Self::Unsupported,
             _ => return Err(Report::new(Failure::UnknownKind)),
@@ -117,19 +117,20 @@
     }
 }
 
-fn decoded<M: pgwire::messages::Message>(frame: &Frame) -> Result<M, Report<Failure>> {
+fn decode<M: pgwire::messages::Message>(frame: &Frame) -> Result<M, Report<Failure>> {
     let context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
     let mut bytes = BytesMut::from(frame.bytes.as_ref());
     let message = M::decode(&mut bytes, &context).ok().flatten();
     message.ok_or_else(|| Report::new(Failure::Malformed))
 }
 
+/// Reader of a message body that checks its structure.
 struct Cursor<'a> {
     rest: &'a [u8],
 }
 
 impl Cursor<'_> {
-    fn text(&mut self) -> Result<(), Report<Failure>> {
+    fn check_text(&mut self) -> Result<(), Report<Failure>> {
         let end = self.rest.iter().position(|byte| *byte == 0).ok_or(Failure::Malformed)?;
         if std::str::from_utf8(&self.rest[..end]).is_err() {
             return Err(Report::new(Failure::Encoding));
@@ -146,19 +147,19 @@
         Ok(())
     }
 
-    fn count(&mut self) -> Result<usize, Report<Failure>> {
+    fn read_count(&mut self) -> Result<usize, Report<Failure>> {
         let head = self.rest.first_chunk::<2>().ok_or(Failure::Malformed)?;
         let count = u16::from_be_bytes(*head);
         self.rest.advance(2);
         Ok(usize::from(count))
     }
 
-    fn numbers(&mut self, width: usize) -> Result<(), Report<Failure>> {
-        let count = self.count()?;
+    fn skip_array(&mut self, width: usize) -> Result<(), Report<Failure>> {
+        let count = self.read_count()?;
         self.skip(count * width)
     }
 
-    fn value(&mut self) -> Result<(), Report<Failure>> {
+    fn skip_value(&mut self) -> Result<(), Report<Failure>> {
         let head = self.rest.first_chunk::<4>().ok_or(Failure::Malformed)?;
         let length = i32::from_be_bytes(*head);
         self.rest.advance(4);
@@ -169,28 +170,28 @@
         }
     }
 
-    fn bind(&mut self) -> Result<(), Report<Failure>> {
-        self.text()?;
-        self.text()?;
-        self.numbers(2)?;
-        for _ in 0..self.count()? {
-            self.value()?;
+    fn check_bind(&mut self) -> Result<(), Report<Failure>> {
+        self.check_text()?;
+        self.check_text()?;
+        self.skip_array(2)?;
+        for _ in 0..self.read_count()? {
+            self.skip_value()?;
         }
-        self.numbers(2)
+        self.skip_array(2)
     }
 
-    fn target(&mut self) -> Result<Target, Report<Failure>> {
+    fn read_target(&mut self) -> Result<Target, Report<Failure>> {
         let target = match self.rest.first() {
             Some(b'S') => Target::Statement,
             Some(b'P') => Target::Portal,
             _ => return Err(Report::new(Failure::Malformed)),
         };
         self.rest.advance(1);
-        self.text()?;
+        self.check_text()?;
         Ok(target)
     }
 
-    fn end(&self) -> Result<(), Report<Failure>> {
+    fn check_end(&self) -> Result<(), Report<Failure>> {
         if self.rest.is_empty() { Ok(()) } else { Err(Report::new(Failure::Malformed)) }
     }
 }
--- a/components/pg/src/code.rs
+++ b/components/pg/src/code.rs
@@ -1,34 +1,34 @@
-//! Error codes that a caller is given, and the errors that carry them.
+//! Errors that are sent to a caller, and their codes.
 
 use std::borrow::Cow;
 use std::fmt;
 use std::time::Duration;
 
-/// A SQLSTATE.
+/// SQLSTATE code of an error. Codes that begin with `TF` are specific to this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::IntoStaticStr)]
 pub enum Code {
-    /// Proved not to have run.
+    /// The request is proved not to have run.
     #[strum(serialize = "TF001")]
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     #[strum(serialize = "TF002")]
     Unknown,
-    /// The session token does not count.
+    /// The session token is invalid.
     #[strum(serialize = "TF003")]
     Token,
-    /// A feature that a shared connection can't carry.
+    /// The request uses a feature that a shared connection can't support.
     #[strum(serialize = "TF004")]
     Feature,
-    /// The message breaks the protocol.
+    /// A message violates the protocol.
     #[strum(serialize = "08P01")]
     Protocol,
-    /// A value that a setting does not take.
+    /// The value is invalid for a setting.
     #[strum(serialize = "22023")]
     Value,
-    /// A text is not UTF-8.
+    /// A string is not UTF-8.
     #[strum(serialize = "22021")]
     Encoding,
-    /// The transaction has failed; only its end is accepted.
+    /// The transaction has failed; only a statement that ends it is accepted.
     #[strum(serialize = "25P02")]
     FailedTransaction,
     /// The login is refused.
@@ -37,19 +37,19 @@
     /// The password is wrong.
     #[strum(serialize = "28P01")]
     Password,
-    /// No such database.
+    /// The database does not exist.
     #[strum(serialize = "3D000")]
     Database,
-    /// The request outgrew a limit.
+    /// The request exceeds a limit.
     #[strum(serialize = "54000")]
     Limit,
-    /// The caller cancelled it.
+    /// The caller cancelled the request.
     #[strum(serialize = "57014")]
     Cancelled,
     /// The process is stopping.
     #[strum(serialize = "57P01")]
     Shutdown,
-    /// The process takes no callers at present.
+    /// The process does not accept callers at present.
     #[strum(serialize = "57P03")]
     Unready,
 }
@@ -61,24 +61,24 @@
     }
 }
 
-/// An error as a caller is told of it.
+/// Error that is sent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Its code.
+    /// SQLSTATE of the error.
     pub code: Code,
-    /// What went wrong, for a person.
+    /// Description of the error for people.
     pub message: Cow<'static, str>,
-    /// Time after which it is worth asking again.
+    /// Time after which a retry may succeed; sent as a hint.
     pub retry_after: Option<Duration>,
 }
 
 impl Problem {
-    /// Makes a problem without a hint.
+    /// Creates an error without a retry hint.
     pub fn new(code: Code, message: impl Into<Cow<'static, str>>) -> Self {
         Self { code, message: message.into(), retry_after: None }
     }
 
-    /// Adds when it is worth asking again.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub fn after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
--- a/components/pg/src/cycle.rs
+++ b/components/pg/src/cycle.rs
@@ -1,9 +1,10 @@
-//! A caller's messages, grouped into cycles.
+//! Groups the messages of a caller into cycles.
 //!
-//! A cycle is what one ReadyForQuery answers: one Query, or the messages of
-//! the extended protocol up to a Sync. A cycle is passed on when it is whole, so
-//! what comes before its end never left the front. A Flush asks for the answers
-//! to what came so far; it splits the cycle where that changes nothing.
+//! A cycle is the unit that one ReadyForQuery answers: one Query, or the messages of
+//! the extended protocol up to a Sync. A cycle is forwarded only when it is complete,
+//! so no message leaves the front before the end of its cycle has arrived. A Flush
+//! requests the answers to the messages so far; it splits the cycle where the split
+//! has no effect on the result.
 
 use bytes::Bytes;
 
@@ -12,87 +13,91 @@
 use crate::frame::Frame;
 use crate::scan::Feature;
 
-/// Longest cycle in bytes; it fits into one frame between two processes.
+/// Longest cycle in bytes, chosen to fit into one frame between two processes.
 pub const MAX_BYTES: usize = (4 << 20) - (64 << 10);
 
-/// Most messages of one cycle.
+/// Largest number of messages in one cycle.
 pub const MAX_MESSAGES: usize = 65_536;
 
-/// One cycle.
+/// Messages of a caller that are run together.
 #[derive(Debug, PartialEq)]
 pub enum Cycle {
-    /// A text.
+    /// Simple query.
     Query {
-        /// The text.
+        /// SQL text of the query.
         text: String,
-        /// The message as it came.
+        /// Encoded Query message as received.
         bytes: Bytes,
     },
-    /// Messages of the extended protocol, without the Sync that ended them.
+    /// Messages of the extended protocol, without the Sync that ends the cycle.
     Extended(Vec<Message>),
 }
 
-/// What a message leads to.
+/// Action that the front must take after a message.
 #[derive(Debug, PartialEq)]
 pub enum Step {
-    /// More messages are needed.
+    /// Wait for more messages.
     Wait,
-    /// A cycle is whole.
+    /// Run a complete cycle.
     Run(Cycle),
-    /// The answers to these messages are asked for before their cycle ends.
+    /// Run these messages and send the answers before their cycle ends.
     Flush(Vec<Message>),
-    /// An error is due now; messages up to the next Sync are passed over.
+    /// Send an error; messages up to the next Sync are discarded.
     Error(Problem),
-    /// An error is due now, and the cycle ends with it.
+    /// Send an error followed by ReadyForQuery, which ends the cycle.
     ErrorReady(Problem),
-    /// The Sync after an error: the cycle ends.
+    /// Send ReadyForQuery: the Sync after an error ended the cycle.
     Recover,
-    /// The caller ends the session.
+    /// End the session on request of the caller.
     Terminate,
-    /// The protocol is broken: the session ends with an error.
+    /// Send an error and end the session, because the caller violated the protocol
+    /// or called a function by object id.
     Fatal(Problem),
 }
 
-/// A caller's side of the protocol after login.
+/// State of the protocol with one caller after login.
 #[derive(Debug, Default)]
 pub struct Caller {
+    /// Messages of the current cycle that have not been run.
     pending: Vec<Message>,
+    /// Encoded size of the pending messages in bytes.
     bytes: usize,
-    /// Whether a part of the cycle was flushed.
+    /// Whether part of the current cycle was flushed.
     flushed: bool,
+    /// Whether messages are discarded up to the next Sync.
     skipping: bool,
 }
 
 impl Caller {
-    /// Makes the state of a caller that has logged in.
+    /// Creates the state of a caller that has just logged in.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether the caller stands between two cycles.
+    /// Whether no cycle is in progress.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty() && !self.skipping && !self.flushed
     }
 
-    /// Passes over the messages up to the next Sync, after an error.
+    /// Discards messages up to the next Sync, as the protocol requires after an error.
     pub fn skip_to_sync(&mut self) {
         drop(self.take());
         self.skipping = true;
     }
 
-    /// Takes one message.
+    /// Processes one message.
     pub fn on(&mut self, frame: &Frame) -> Step {
         if self.skipping && !matches!(frame.kind, b'S' | b'X') {
             return Step::Wait;
         }
         let message = match Message::decode(frame) {
             Ok(message) => message,
-            Err(report) => return wrong(*report.current_context()),
+            Err(report) => return invalid(*report.current_context()),
         };
         match message {
             Message::Terminate => Step::Terminate,
             Message::Sync => self.sync(),
-            // all that is due was sent
+            // all answers were sent already
             Message::Flush if self.pending.is_empty() => Step::Wait,
             Message::Flush => {
                 self.flushed = true;
@@ -103,7 +108,7 @@
                 Step::Fatal(Problem::new(Code::Protocol, "a password is due at login only"))
             }
             Message::Unsupported if frame.kind == b'F' => Step::Fatal(Feature::FunctionCall.into()),
-            // what is left of a COPY that was refused
+            // remaining data of a COPY that was refused
             Message::Unsupported => Step::Wait,
             message => self.extend(message, frame.bytes.len()),
         }
@@ -128,12 +133,12 @@
     }
 
     fn query(&mut self, text: String, bytes: Bytes) -> Step {
-        // what was flushed stands as if a Sync had come after it
+        // the flushed part is final, as if a Sync had followed it
         self.flushed = false;
         if !self.pending.is_empty() {
             let message = "a Query before the Sync of the messages before it is not carried";
             drop(self.take());
-            // its sender waits for the end of a cycle, and may never send the Sync
+            // a caller that sends Query waits for ReadyForQuery and may never send a Sync
             return Step::ErrorReady(Problem::new(Code::Feature, message));
         }
         if bytes.len() > MAX_BYTES {
@@ -152,7 +157,7 @@
     }
 }
 
-fn wrong(failure: Failure) -> Step {
+fn invalid(failure: Failure) -> Step {
     let code = match failure {
         Failure::Encoding => Code::Encoding,
         Failure::UnknownKind | Failure::Malformed => Code::Protocol,
--- a/components/pg/src/filter.rs
+++ b/components/pg/src/filter.rs
@@ -1,8 +1,8 @@
-//! The answer to a cycle as the caller is to get it.
+//! Filter for the answer of a backend server to a cycle.
 //!
-//! What the front added to a cycle is answered too; those answers are taken
-//! out here, by their order. So are messages about the backend connection
-//! itself, which is none of the caller's.
+//! The backend server also answers the messages that the front added to a cycle.
+//! The filter removes these answers by their order. Messages about the state of the
+//! backend connection are removed as well, because callers share the connection.
 
 use std::fmt;
 
@@ -12,22 +12,22 @@
 
 use crate::frame;
 
-/// Answer to a Parse.
+/// Kind byte of the answer to a Parse.
 pub const PARSE_COMPLETE: u8 = b'1';
 
-/// Answer to a Close.
+/// Kind byte of the answer to a Close.
 pub const CLOSE_COMPLETE: u8 = b'3';
 
-/// An answer that is due, in its order.
+/// Answer to a Parse or Close that the backend server is expected to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expected {
-    /// [`PARSE_COMPLETE`] or [`CLOSE_COMPLETE`].
+    /// Kind byte of the answer: [`PARSE_COMPLETE`] or [`CLOSE_COMPLETE`].
     pub kind: u8,
-    /// Whether the caller asked for it.
+    /// Whether the caller sent the answered message; false if the front added it.
     pub own: bool,
 }
 
-/// An answer that is not one to this cycle.
+/// Error for an answer that does not match the expected answers of its cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mismatch;
 
@@ -39,10 +39,10 @@
 
 impl std::error::Error for Mismatch {}
 
-/// Pieces of an answer.
+/// Consecutive slices of an answer.
 pub type Pieces = SmallVec<[Bytes; 2]>;
 
-/// Filters the answer to one cycle.
+/// State of the filter during the answer to one cycle.
 #[derive(Debug)]
 pub struct Filter<'a> {
     expected: &'a [Expected],
@@ -51,12 +51,12 @@
 }
 
 impl<'a> Filter<'a> {
-    /// Makes the filter of a cycle to which these answers are due.
+    /// Creates the filter for a cycle with these expected answers.
     pub fn new(expected: &'a [Expected]) -> Self {
         Self { expected, own: 0, failed: false }
     }
 
-    /// Takes whole messages and returns those that the caller is to get.
+    /// Filters complete messages and returns those that are forwarded to the caller.
     ///
     /// # Errors
     /// [`Mismatch`] when the messages can't be the answer to this cycle.
@@ -71,24 +71,25 @@
                 push(&mut pieces, messages, start, offset);
                 return Ok(pieces);
             };
-            if !self.keeps(frame.kind)? {
+            if !self.is_forwarded(frame.kind)? {
                 push(&mut pieces, messages, start, offset);
                 start = messages.len() - rest.len();
             }
         }
     }
 
-    /// Number of own answers that were passed on, in order.
+    /// Number of answers to the caller's own Parse and Close messages that were
+    /// forwarded.
     pub fn own_answers(&self) -> usize {
         self.own
     }
 
-    /// Whether an error was passed on.
+    /// Whether an error was forwarded.
     pub fn has_error(&self) -> bool {
         self.failed
     }
 
-    fn keeps(&mut self, kind: u8) -> Result<bool, Report<Mismatch>> {
+    fn is_forwarded(&mut self, kind: u8) -> Result<bool, Report<Mismatch>> {
         match kind {
             PARSE_COMPLETE | CLOSE_COMPLETE => {
                 let (expected, rest) = self.expected.split_first().ok_or(Mismatch)?;
@@ -103,7 +104,8 @@
                 self.failed = true;
                 Ok(true)
             }
-            // settings, notifications and the end of the cycle are the front's
+            // the front itself reports settings and ends the cycle; notifications
+            // are not supported
             b'S' | b'A' | b'Z' => Ok(false),
             b'2' | b'C' | b'D' | b'I' | b'N' | b'T' | b'n' | b's' | b't' => Ok(true),
             _ => Err(Report::new(Mismatch)),
--- a/components/pg/src/frame.rs
+++ b/components/pg/src/frame.rs
@@ -1,40 +1,40 @@
-//! Whole messages out of a stream of bytes.
+//! Splits a stream of bytes into messages.
 
 use std::fmt;
 
 use bytes::{Buf, Bytes, BytesMut};
 use error_stack::Report;
 
-/// Longest message of a caller in bytes, without its kind.
+/// Longest message of a caller in bytes, without the kind byte.
 pub const MAX_BYTES: usize = 16 << 20;
 
-/// Bytes of the kind and the length before a message's body.
+/// Bytes before the body of a message: its kind and its length.
 pub const HEAD_BYTES: usize = 5;
 
-/// A message of either side, not decoded.
+/// Encoded message of a caller or a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Kind of the message.
+    /// Kind byte of the message.
     pub kind: u8,
-    /// All of its bytes, with kind and length.
+    /// Complete message, including kind and length.
     pub bytes: Bytes,
 }
 
 impl Frame {
-    /// The body, without kind and length.
+    /// Body of the message, without kind and length.
     pub fn body(&self) -> &[u8] {
         &self.bytes[HEAD_BYTES..]
     }
 }
 
-/// Bytes that are no message.
+/// Error in the length of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The length is less than that of the length itself.
+    /// The length field is smaller than the field itself, or the message is truncated.
     Short,
-    /// The length is over the limit.
+    /// The length exceeds the limit.
     Oversized {
-        /// The length in bytes.
+        /// Value of the length field, in bytes.
         bytes: usize,
     },
 }
@@ -50,8 +50,8 @@
 
 impl std::error::Error for Failure {}
 
-/// Length of the first message in bytes, with its kind.
-fn length(head: [u8; HEAD_BYTES], limit: usize) -> Result<usize, Report<Failure>> {
+/// Returns the length of a message in bytes, including its kind byte.
+fn read_length(head: [u8; HEAD_BYTES], limit: usize) -> Result<usize, Report<Failure>> {
     let [_, a, b, c, d] = head;
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     if length < 4 {
@@ -63,15 +63,15 @@
     Ok(length + 1)
 }
 
-/// Takes the first message of a buffer, if it is whole.
+/// Takes the first message from a buffer; `None` if it is incomplete.
 ///
 /// # Errors
-/// Each [`Failure`]; the stream is of no use after it.
+/// Any [`Failure`]; the stream can't be read any further.
 pub fn take(buffer: &mut BytesMut) -> Result<Option<Frame>, Report<Failure>> {
     let Some(head) = buffer.first_chunk::<HEAD_BYTES>() else {
         return Ok(None);
     };
-    let length = length(*head, MAX_BYTES)?;
+    let length = read_length(*head, MAX_BYTES)?;
     if buffer.len() < length {
         return Ok(None);
     }
@@ -79,16 +79,17 @@
     Ok(Some(Frame { kind: bytes[0], bytes }))
 }
 
-/// Takes the first message of whole messages; `None` at their end.
+/// Takes the first of complete messages; `None` if none is left.
 ///
 /// # Errors
-/// [`Failure::Short`] also when the last message is cut.
+/// [`Failure::Oversized`] if the length exceeds the range of an `i32`, and
+/// [`Failure::Short`] if the length is too small or the last message is truncated.
 pub fn next(messages: &mut Bytes) -> Result<Option<Frame>, Report<Failure>> {
     if !messages.has_remaining() {
         return Ok(None);
     }
     let head = messages.first_chunk::<HEAD_BYTES>().ok_or(Failure::Short)?;
-    let length = length(*head, i32::MAX as usize)?;
+    let length = read_length(*head, i32::MAX as usize)?;
     if messages.len() < length {
         return Err(Report::new(Failure::Short));
     }
--- a/components/pg/src/lib.rs
+++ b/components/pg/src/lib.rs
@@ -1,19 +1,19 @@
-//! The PostgreSQL protocol as a front needs it.
+//! Server side of the PostgreSQL protocol for the front, which accepts callers.
 //!
-//! Messages and their codec come from `pgwire`, tokens of SQL from
-//! `sqlparser`. What stands here decides what a caller's messages mean.
+//! Messages and their codec come from `pgwire`, tokens of SQL from `sqlparser`.
+//! This crate decides what the messages of a caller mean.
 //!
-//! - [`frame`]: whole messages out of a stream of bytes.
-//! - [`startup`]: the packets before login.
-//! - [`client`]: a caller's messages, checked and decoded.
-//! - [`scan`]: what a text of SQL asks for, without parsing it.
-//! - [`setting`]: the settings that hold, answered without a backend server.
-//! - [`cycle`]: messages grouped up to each Query or Sync.
-//! - [`prepared`]: statements that a caller prepared, and the cycle as a
-//!   backend server is to get it.
-//! - [`filter`]: the answer as the caller is to get it.
+//! - [`frame`]: splits a stream of bytes into messages.
+//! - [`startup`]: packets that a caller sends before login.
+//! - [`client`]: validates and decodes the messages of a caller.
+//! - [`scan`]: classifies SQL statements by their tokens, without parsing them.
+//! - [`setting`]: session settings that the front answers without a backend server.
+//! - [`cycle`]: groups messages up to each Query or Sync.
+//! - [`prepared`]: prepared statements of a caller, and the messages that a backend
+//!   server gets in their place.
+//! - [`filter`]: removes messages from an answer that the caller must not see.
 //! - [`answer`]: messages that the front writes itself.
-//! - [`scram`][mod@scram]: passwords.
+//! - [`scram`][mod@scram]: password authentication.
 
 pub mod answer;
 pub mod client;
--- a/components/pg/src/prepared.rs
+++ b/components/pg/src/prepared.rs
@@ -1,11 +1,11 @@
-//! Statements that a caller prepared, and its cycles as a backend server is
-//! to get them.
+//! Prepared statements of a caller, and the rewritten cycles for backend servers.
 //!
-//! A backend connection carries no state of a caller. The front keeps each
-//! statement, and a cycle that uses one prepares it anew: its name becomes a
-//! slot, and before its first use Close and Parse of the slot are added. The
-//! Close makes sure that whatever the connection held there is gone. Slots are
-//! not used twice in one transaction, since a portal of it may hang on one.
+//! A backend connection holds no state of a caller. The front stores each prepared
+//! statement, and each cycle that uses a statement prepares it again: the name of the
+//! statement is replaced by the name of a slot, and Close and Parse of the slot are
+//! added before its first use. The Close removes any statement that the connection
+//! still has under this name. A slot is not used twice in one transaction, since a
+//! portal of the transaction may depend on the statement in it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -20,22 +20,24 @@
 use crate::filter::{CLOSE_COMPLETE, Expected, PARSE_COMPLETE};
 use crate::scan::Scan;
 
-/// Most statements that one caller may keep.
+/// Largest number of prepared statements of one caller.
 pub const MAX_STATEMENTS: usize = 4_096;
 
-/// Most bytes of statements that one caller may keep.
+/// Largest total size in bytes of the names and texts of one caller's prepared
+/// statements.
 pub const MAX_BYTES: usize = 8 << 20;
 
+/// Prefix of the slot names; the number of the slot follows.
 const SLOT_PREFIX: &str = "trefoil_";
 
-/// A statement that a caller prepared.
+/// Prepared statement of a caller.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// Its text.
+    /// SQL text of the statement.
     pub text: String,
-    /// Types of its parameters as the caller gave them.
+    /// Object ids of the parameter types, as given by the caller.
     pub types: Vec<u32>,
-    /// What the text asks for.
+    /// Classification of the text.
     pub scan: Scan,
 }
 
@@ -49,56 +51,59 @@
     }
 }
 
-/// A change of what is prepared; it counts once its answer was passed on.
+/// Change to the prepared statements of a caller, which takes effect once its answer
+/// was forwarded to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A statement is prepared.
+    /// Adds the statement under a name.
     Insert(String, Arc<Statement>),
-    /// A statement is closed.
+    /// Removes the statement with a name.
     Remove(String),
-    /// A portal is closed.
+    /// Changes no statement: the answer is to the Close of a portal.
     None,
 }
 
-/// A cycle as a backend server is to get it.
+/// Rewritten cycle for a backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Client messages up to Query or Sync.
+    /// Encoded messages, up to and including the Query or Sync.
     pub payload: Bytes,
-    /// Answers that are due, in order.
+    /// Expected answers to Parse and Close messages, in order.
     pub expected: Vec<Expected>,
-    /// What each own answer of [`Plan::expected`] changes, in order.
+    /// Change that takes effect with each answer in [`Plan::expected`] that is `own`, in
+    /// the same order.
     pub changes: Vec<Change>,
 }
 
-/// The statements that a cycle uses.
+/// Statements and portals that a cycle uses.
 #[derive(Debug, Default)]
 pub struct Lookup {
-    /// Each of them, in the order of use.
+    /// Statements that the cycle prepares, binds or describes, in this order.
     pub statements: Vec<Arc<Statement>>,
-    /// Those that the cycle itself prepares, in order.
+    /// Statements that the cycle itself prepares, in order.
     own: VecDeque<Arc<Statement>>,
-    /// What it makes of portals, in order.
+    /// Portals that the cycle binds and executes, in order.
     uses: Vec<Use>,
 }
 
-/// What a cycle does with a portal.
+/// Use of a portal in a cycle.
 #[derive(Debug)]
 enum Use {
-    /// Binds a statement to it.
+    /// Binds a statement to the portal with this name.
     Bind(String, Arc<Statement>),
-    /// Runs it.
+    /// Executes the portal with this name.
     Execute(String),
 }
 
 impl Lookup {
-    /// Whether a Sync after it changes nothing: it leaves no portal and runs
-    /// nothing outside a transaction. `in_transaction` tells whether one is open.
+    /// Whether a Sync after these messages would have no effect: they leave no portal
+    /// open and run nothing outside a transaction. `in_transaction` tells whether a
+    /// transaction is open before the messages.
     pub fn is_separable(&self, in_transaction: bool) -> bool {
         let mut in_transaction = in_transaction;
         let mut portals = BTreeMap::new();
-        for portal in &self.uses {
-            match portal {
+        for portal_use in &self.uses {
+            match portal_use {
                 Use::Bind(name, statement) => {
                     portals.insert(name, &statement.scan);
                     if !in_transaction && !statement.scan.begins() {
@@ -111,7 +116,7 @@
                         in_transaction = false;
                         portals.clear();
                     }
-                    // a portal of an earlier cycle
+                    // the portal was bound in an earlier cycle
                     None if !in_transaction => return false,
                     Some(_) | None => {}
                 },
@@ -121,36 +126,39 @@
     }
 }
 
-/// The statements that one caller prepared.
+/// All prepared statements of one caller.
 #[derive(Debug, Default)]
 pub struct Prepared {
     statements: BTreeMap<String, Arc<Statement>>,
+    /// Total size in bytes of the names and texts.
     bytes: usize,
+    /// Number of the next unused slot.
     slots: u64,
 }
 
 impl Prepared {
-    /// Makes the state of a caller that prepared nothing.
+    /// Creates the state of a caller without prepared statements.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A statement by name; the empty name is that of the unnamed one.
+    /// Returns the statement with a name; the empty name is that of the unnamed
+    /// statement.
     pub fn get(&self, name: &str) -> Option<&Arc<Statement>> {
         self.statements.get(name)
     }
 
-    /// Number of statements kept.
+    /// Number of prepared statements.
     pub fn len(&self) -> usize {
         self.statements.len()
     }
 
-    /// Whether none is kept.
+    /// Whether there are no prepared statements.
     pub fn is_empty(&self) -> bool {
         self.statements.is_empty()
     }
 
-    /// Keeps or drops a statement.
+    /// Applies a change whose answer was forwarded to the caller.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Insert(name, statement) => {
@@ -163,13 +171,13 @@
         }
     }
 
-    /// Drops all statements.
+    /// Removes all statements.
     pub fn clear(&mut self) {
         self.statements.clear();
         self.bytes = 0;
     }
 
-    /// Tells that no transaction is open: slots may be used again.
+    /// Allows the slots to be used again; called when no transaction is open.
     pub fn release_slots(&mut self) {
         self.slots = 0;
     }
@@ -180,7 +188,7 @@
         }
     }
 
-    /// Looks up the statements that a cycle uses.
+    /// Returns the statements and portals that a cycle uses.
     pub fn look_up(&self, messages: &[Message]) -> Lookup {
         let mut lookup = Lookup::default();
         let mut names: BTreeMap<&str, Option<Arc<Statement>>> = BTreeMap::new();
@@ -218,10 +226,12 @@
         lookup
     }
 
-    /// Plans the messages of an extended cycle, after [`Prepared::look_up`].
+    /// Rewrites the messages of an extended cycle for a backend server. `lookup` is the
+    /// result of [`Prepared::look_up`] for the same messages.
     ///
     /// # Errors
-    /// [`Code::Limit`] when the caller keeps too many statements.
+    /// [`Code::Limit`] if the prepared statements exceed [`MAX_STATEMENTS`] or
+    /// [`MAX_BYTES`].
     pub fn plan(&mut self, messages: Vec<Message>, lookup: Lookup) -> Result<Plan, Problem> {
         let mut draft = Draft {
             prepared: self,
@@ -240,10 +250,12 @@
     }
 }
 
+/// Cycle that is being rewritten.
 struct Draft<'a> {
     prepared: &'a mut Prepared,
+    /// Statements that the rest of the cycle prepares, in order.
     own: VecDeque<Arc<Statement>>,
-    /// Where each name stands in this cycle.
+    /// Slot of each statement name that is prepared in this cycle.
     names: BTreeMap<String, String>,
     payload: BytesMut,
     plan: Plan,
@@ -266,7 +278,7 @@
                 self.put(&Describe::new(TARGET_TYPE_BYTE_PORTAL, Some(name)));
             }
             Message::Close(Target::Statement, name) => {
-                let slot = self.names.remove(&name).unwrap_or_else(|| self.slot());
+                let slot = self.names.remove(&name).unwrap_or_else(|| self.next_slot());
                 self.close(TARGET_TYPE_BYTE_STATEMENT, slot, true);
                 self.plan.changes.push(Change::Remove(name));
             }
@@ -287,13 +299,14 @@
 
     fn parse(&mut self, parse: Parse) -> Result<(), Problem> {
         let name = parse.name.clone().unwrap_or_default();
-        self.check(&name, &parse.query)?;
+        self.check_limits(&name, &parse.query)?;
         let taken = !name.is_empty() && self.current(&name).is_some();
-        let slot = if taken { self.resolve(&name) } else { self.slot() };
+        let slot = if taken { self.resolve(&name) } else { self.next_slot() };
         if !taken {
             self.close(TARGET_TYPE_BYTE_STATEMENT, slot.clone(), false);
         }
-        // a name that is taken is refused by the backend server, in its place
+        // the backend server itself refuses a name that is taken, so that the error has
+        // the right place in the answer
         let statement = self.own.pop_front();
         let statement = statement.unwrap_or_else(|| Arc::new(Statement::from(&parse)));
         self.put(&Parse::new(Some(slot.clone()), parse.query, parse.type_oids));
@@ -303,17 +316,17 @@
         Ok(())
     }
 
-    fn check(&self, name: &str, text: &str) -> Result<(), Problem> {
+    fn check_limits(&self, name: &str, text: &str) -> Result<(), Problem> {
         let staged = self.plan.changes.len();
-        let many = self.prepared.len() + staged >= MAX_STATEMENTS;
-        let large = self.prepared.bytes + name.len() + text.len() > MAX_BYTES;
-        if many || large {
+        let too_many = self.prepared.len() + staged >= MAX_STATEMENTS;
+        let too_large = self.prepared.bytes + name.len() + text.len() > MAX_BYTES;
+        if too_many || too_large {
             return Err(Problem::new(Code::Limit, "too many prepared statements are kept"));
         }
         Ok(())
     }
 
-    /// What a name means at this place of the cycle.
+    /// Returns the statement that a name refers to at this point of the cycle.
     fn current(&self, name: &str) -> Option<Arc<Statement>> {
         let staged = self.plan.changes.iter().rev().find_map(|change| match change {
             Change::Insert(kept, statement) if kept == name => Some(Some(Arc::clone(statement))),
@@ -323,14 +336,15 @@
         staged.unwrap_or_else(|| self.prepared.get(name).cloned())
     }
 
-    /// The slot of a name, prepared in this cycle.
+    /// Returns the slot of a name, and prepares the statement in it if this cycle has
+    /// not done so.
     fn resolve(&mut self, name: &str) -> String {
         if let Some(slot) = self.names.get(name) {
             return slot.clone();
         }
-        let slot = self.slot();
+        let slot = self.next_slot();
         self.close(TARGET_TYPE_BYTE_STATEMENT, slot.clone(), false);
-        // a name that means nothing stays closed: the backend server refuses its use
+        // the slot of an unknown name stays empty, so the backend server refuses its use
         if let Some(statement) = self.current(name) {
             let types = statement.types.clone();
             self.put(&Parse::new(Some(slot.clone()), statement.text.clone(), types));
@@ -340,7 +354,7 @@
         slot
     }
 
-    fn slot(&mut self) -> String {
+    fn next_slot(&mut self) -> String {
         let slot = format!("{SLOT_PREFIX}{}", self.prepared.slots);
         self.prepared.slots += 1;
         slot
@@ -354,8 +368,8 @@
     fn put(&mut self, message: &impl pgwire::messages::Message) {
         let start = self.payload.len();
         let encoded = message.encode(&mut self.payload);
-        // a message that was decoded is within the limits, so this can't fail
-        debug_assert!(encoded.is_ok(), "a message that was decoded can be encoded");
+        // a decoded message is within the limits of the encoder
+        debug_assert!(encoded.is_ok(), "could not encode a message that was decoded");
         if encoded.is_err() {
             self.payload.truncate(start);
         }
--- a/components/pg/src/scan.rs
+++ b/components/pg/src/scan.rs
@@ -1,7 +1,7 @@
-//! What a text of SQL asks for, by its tokens alone.
+//! Classification of SQL text by its tokens.
 //!
-//! Nothing is parsed: a statement is known by its first words, and by a few
-//! words that must not stand anywhere in it.
+//! The text is not parsed: a statement is classified by its first words, and by a few
+//! words that are not supported anywhere in it.
 
 use std::borrow::Cow;
 
@@ -12,62 +12,62 @@
 use crate::code::{Code, Problem};
 use crate::setting::{self, Local};
 
-/// Key of the comment that names the kind of a request.
+/// Key in a SQL comment whose value names the kind of a request.
 pub const KIND_KEY: &str = "kind";
 
-/// Features that a shared connection can't carry.
+/// Feature of PostgreSQL that a shared connection can't support.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 pub enum Feature {
     /// LISTEN and UNLISTEN.
     #[strum(serialize = "LISTEN and UNLISTEN are not carried")]
     Listen,
-    /// PREPARE, EXECUTE and DEALLOCATE of one name.
+    /// PREPARE, EXECUTE and DEALLOCATE of a named statement.
     #[strum(serialize = "PREPARE, EXECUTE and DEALLOCATE are not carried; \
                          prepare statements by the protocol")]
     Prepare,
-    /// PREPARE TRANSACTION and what ends one.
+    /// PREPARE TRANSACTION, COMMIT PREPARED and ROLLBACK PREPARED.
     #[strum(serialize = "two-phase transactions are not carried")]
     TwoPhase,
-    /// A cursor that outlives its transaction.
+    /// Cursor that stays open after its transaction.
     #[strum(serialize = "DECLARE WITH HOLD is not carried")]
     Hold,
-    /// LOAD.
+    /// LOAD of a shared library.
     #[strum(serialize = "LOAD is not carried")]
     Load,
-    /// DISCARD of less than all.
+    /// DISCARD other than DISCARD ALL.
     #[strum(serialize = "DISCARD is not carried; DISCARD ALL is")]
     Discard,
-    /// COPY.
+    /// COPY in either direction.
     #[strum(serialize = "COPY is not carried")]
     Copy,
     /// Temporary tables, views and sequences.
     #[strum(serialize = "temporary objects are not carried")]
     Temporary,
-    /// Advisory locks that outlive their transaction.
+    /// Advisory locks that are held after their transaction.
     #[strum(serialize = "advisory locks of a session are not carried; \
                          those of a transaction are (pg_advisory_xact_lock)")]
     AdvisoryLock,
-    /// Values that a sequence gave to this session.
+    /// Last values that sequences returned in this session.
     #[strum(serialize = "currval and lastval are carried in a transaction only")]
     SequenceState,
-    /// A setting of the session.
+    /// Change of a session setting.
     #[strum(serialize = "this setting can't be changed for a session; \
                          SET LOCAL in a transaction is carried")]
     Setting,
-    /// Statements for the front and for a server in one request.
+    /// Statements for the front and for a backend server in one request.
     #[strum(serialize = "statements about the session go in requests of their own")]
     Mixed,
-    /// A text that has no tokens.
+    /// Text that can't be split into tokens.
     #[strum(serialize = "the statement can't be read: a quote or comment is not closed")]
     Unreadable,
-    /// Flush after what runs outside a transaction, or ends one.
+    /// Flush after a statement that runs outside a transaction or ends one.
     #[strum(serialize = "Flush after a statement that runs outside a transaction is not \
                          carried; end the cycle with Sync. Nothing of it was run")]
     Flush,
-    /// Calls of functions by number.
+    /// Function calls by object id, with the FunctionCall message.
     #[strum(serialize = "calls of functions by number are not carried")]
     FunctionCall,
-    /// Replication.
+    /// Replication connections.
     #[strum(serialize = "replication is not carried")]
     Replication,
 }
@@ -79,47 +79,47 @@
     }
 }
 
-/// What a statement does to its transaction.
+/// Effect of a statement on the transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
-    /// Begins one.
+    /// Begins a transaction.
     Begin,
-    /// Commits it.
+    /// Commits the transaction.
     Commit,
-    /// Rolls it back.
+    /// Rolls the transaction back.
     Rollback,
     /// Rolls back to a savepoint.
     RollbackTo,
-    /// Runs code that may commit by itself.
+    /// Runs code that may itself commit.
     Call,
-    /// None of these.
+    /// Has none of these effects.
     Other,
 }
 
-/// A statement.
+/// Class of a statement, which tells how it is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// Goes to a backend server.
+    /// Is sent to a backend server.
     Remote(Verb),
-    /// Goes to a backend server in a transaction, else is refused.
+    /// Is sent to a backend server in a transaction; refused outside of one.
     InTransaction(Feature),
     /// Is answered by the front.
     Local(Local),
-    /// Is refused.
+    /// Is refused because it uses an unsupported feature.
     Refused(Feature),
 }
 
-/// What a text asks for.
+/// Classification of a SQL text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scan {
-    /// Its statements, empty ones left out.
+    /// Classes of the statements in the text, without empty statements.
     pub statements: SmallVec<[Statement; 1]>,
-    /// Kind that a comment in it names.
+    /// Kind of the request, from a comment in the text.
     pub tag: Option<String>,
 }
 
 impl Scan {
-    /// Scans a text.
+    /// Classifies a text.
     pub fn new(text: &str) -> Self {
         let tokens = Tokenizer::new(&PostgreSqlDialect {}, text).with_unescape(false).tokenize();
         let Ok(tokens) = tokens else {
@@ -127,17 +127,18 @@
             return Self { statements, tag: None };
         };
         let tag = tokens.iter().find_map(|token| match token {
-            Token::Whitespace(Whitespace::MultiLineComment(comment)) => kind(comment),
+            Token::Whitespace(Whitespace::MultiLineComment(comment)) => read_kind(comment),
             _ => None,
         });
-        let solid: Vec<&Token> =
+        let significant: Vec<&Token> =
             tokens.iter().filter(|token| !matches!(token, Token::Whitespace(_))).collect();
-        let parts = solid.split(|token| matches!(token, Token::SemiColon));
-        let statements = parts.filter(|part| !part.is_empty()).map(statement).collect();
+        let parts = significant.split(|token| matches!(token, Token::SemiColon));
+        let statements = parts.filter(|part| !part.is_empty()).map(classify).collect();
         Self { statements, tag }
     }
 
-    /// The first reason to refuse it. `in_transaction` tells whether a transaction is open.
+    /// Returns the first unsupported feature for which the text is refused.
+    /// `in_transaction` tells whether a transaction is open.
     pub fn refusal(&self, in_transaction: bool) -> Option<Feature> {
         let begins = |statement: &Statement| matches!(statement, Statement::Remote(Verb::Begin));
         let in_transaction = in_transaction || self.statements.first().is_some_and(begins);
@@ -149,7 +150,7 @@
         refused.or_else(|| self.is_mixed().then_some(Feature::Mixed))
     }
 
-    /// Whether the front answers all of it.
+    /// Whether the front answers all statements of the text.
     pub fn is_local(&self) -> bool {
         let local = |statement: &Statement| matches!(statement, Statement::Local(_));
         !self.statements.is_empty() && self.statements.iter().all(local)
@@ -160,7 +161,7 @@
         self.statements.iter().any(local) && !self.is_local()
     }
 
-    /// Whether it commits a transaction, or may do so.
+    /// Whether a statement of the text commits a transaction or may do so.
     pub fn commits(&self) -> bool {
         let commits = |statement: &Statement| {
             matches!(statement, Statement::Remote(Verb::Commit | Verb::Call))
@@ -168,12 +169,12 @@
         self.statements.iter().any(commits)
     }
 
-    /// Whether it is one statement that begins a transaction.
+    /// Whether the text is a single statement that begins a transaction.
     pub fn begins(&self) -> bool {
         self.is_verb(Verb::Begin)
     }
 
-    /// Whether it is one statement that ends a transaction.
+    /// Whether the text is a single statement that ends a transaction.
     pub fn ends(&self) -> bool {
         self.is_verb(Verb::Commit) || self.is_verb(Verb::Rollback)
     }
@@ -183,7 +184,7 @@
     }
 }
 
-/// The text from its first word on, without comments before it.
+/// Returns the text without the whitespace and comments before its first word.
 pub fn strip_leading_comments(text: &str) -> &str {
     let mut rest = text.trim_start();
     loop {
@@ -201,12 +202,12 @@
     }
 }
 
-/// An unquoted word in capitals, or none.
+/// Returns an unquoted word in upper case; `None` for any other token.
 pub(crate) fn word<'a>(token: Option<&&'a Token>) -> Option<Cow<'a, str>> {
     match token {
         Some(Token::Word(word)) if word.quote_style.is_none() => {
-            let capital = !word.value.bytes().any(|byte| byte.is_ascii_lowercase());
-            Some(if capital {
+            let is_upper = !word.value.bytes().any(|byte| byte.is_ascii_lowercase());
+            Some(if is_upper {
                 Cow::Borrowed(word.value.as_str())
             } else {
                 Cow::Owned(word.value.to_ascii_uppercase())
@@ -216,16 +217,17 @@
     }
 }
 
-fn statement(tokens: &[&Token]) -> Statement {
+/// Classifies the tokens of one statement.
+fn classify(tokens: &[&Token]) -> Statement {
     if tokens.iter().any(|token| matches!(token, Token::CopyData { .. })) {
         return Statement::Refused(Feature::Copy);
     }
     let words: SmallVec<[Cow<'_, str>; 4]> =
         (0..4).map_while(|index| word(tokens.get(index))).collect();
     let second = words.get(1).map(AsRef::as_ref);
-    let found = match words.first().map(AsRef::as_ref) {
+    let class = match words.first().map(AsRef::as_ref) {
         Some("BEGIN" | "START") => Statement::Remote(Verb::Begin),
-        Some("COMMIT" | "END" | "ROLLBACK" | "ABORT") => end(&words),
+        Some("COMMIT" | "END" | "ROLLBACK" | "ABORT") => classify_end(&words),
         Some("CALL" | "DO") => Statement::Remote(Verb::Call),
         Some("LISTEN" | "UNLISTEN") => Statement::Refused(Feature::Listen),
         Some("PREPARE") if second == Some("TRANSACTION") => Statement::Refused(Feature::TwoPhase),
@@ -247,16 +249,17 @@
         Some("SHOW") => setting::show(&tokens[1..]),
         _ => Statement::Remote(Verb::Other),
     };
-    match found {
-        Statement::Remote(_) => functions(tokens).unwrap_or(found),
-        _ => found,
+    match class {
+        Statement::Remote(_) => classify_functions(tokens).unwrap_or(class),
+        _ => class,
     }
 }
 
-fn end(words: &[Cow<'_, str>]) -> Statement {
+/// Classifies COMMIT, END, ROLLBACK and ABORT.
+fn classify_end(words: &[Cow<'_, str>]) -> Statement {
     let has = |wanted: &str| words.iter().any(|word| word == wanted);
-    let commit = words[0] == "COMMIT" || words[0] == "END";
-    match commit {
+    let is_commit = words[0] == "COMMIT" || words[0] == "END";
+    match is_commit {
         _ if has("PREPARED") => Statement::Refused(Feature::TwoPhase),
         true => Statement::Remote(Verb::Commit),
         false if has("TO") => Statement::Remote(Verb::RollbackTo),
@@ -277,8 +280,9 @@
     })
 }
 
-/// Functions that leave something in the session.
-fn functions(tokens: &[&Token]) -> Option<Statement> {
+/// Returns the class of a statement that uses session state through a function or a
+/// temporary schema; `None` if it uses none.
+fn classify_functions(tokens: &[&Token]) -> Option<Statement> {
     tokens.iter().enumerate().find_map(|(index, token)| {
         let Token::Word(word) = token else {
             return None;
@@ -306,7 +310,8 @@
     lock.is_some_and(|lock| !lock.starts_with("xact_"))
 }
 
-/// Whether a call of `set_config` ends in `true)`: until the transaction's end.
+/// Whether the last argument of a `set_config` call is `true`, which limits the setting
+/// to the transaction.
 fn is_local_config(tokens: &[&Token]) -> bool {
     let mut depth = 0_u32;
     for pair in tokens.windows(2) {
@@ -322,20 +327,21 @@
     false
 }
 
-/// The value of [`KIND_KEY`] in a comment of the sqlcommenter form.
-fn kind(comment: &str) -> Option<String> {
+/// Returns the value of [`KIND_KEY`] in a comment with sqlcommenter tags
+/// (`key='value',...`).
+fn read_kind(comment: &str) -> Option<String> {
     comment.split(',').find_map(|pair| {
         let (key, value) = pair.trim().split_once('=')?;
-        if decode(key.trim())? != KIND_KEY {
+        if decode_percent(key.trim())? != KIND_KEY {
             return None;
         }
         let value = value.trim().strip_prefix('\'')?.strip_suffix('\'')?;
-        decode(value)
+        decode_percent(value)
     })
 }
 
-/// Decodes `%XX`.
-fn decode(text: &str) -> Option<String> {
+/// Decodes percent-encoded (`%XX`) text; `None` if it is invalid.
+fn decode_percent(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((first, after)) = rest.split_first() {
--- a/components/pg/src/scram.rs
+++ b/components/pg/src/scram.rs
@@ -1,7 +1,7 @@
-//! Passwords by SCRAM-SHA-256.
+//! Password authentication with SCRAM-SHA-256.
 //!
-//! A file of users has one line for each, `name:verifier`, with the verifier
-//! as PostgreSQL stores it. The exchange itself is `pgwire`'s.
+//! A user file has one line `name:verifier` for each user, with the verifier in the
+//! format in which PostgreSQL stores it. The exchange itself is implemented by `pgwire`.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,40 +15,42 @@
     gen_salted_password,
 };
 
-/// Name of the mechanism.
+/// Name of the SASL mechanism.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
 
 /// Length of a salt in bytes.
 pub const SALT_BYTES: usize = 16;
 
+/// Length of a stored key and of a server key, in bytes.
 const KEY_BYTES: usize = 32;
 
-/// Why a verifier or a login fails.
+/// Error in a verifier, a user file or a login.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// A verifier is not as PostgreSQL stores it.
+    /// The verifier does not have the format of PostgreSQL.
     #[strum(to_string = "a verifier is SCRAM-SHA-256$ITERATIONS:SALT$STORED:SERVER")]
     Verifier,
-    /// A line of the file of users is not `name:verifier`.
+    /// A line of the user file is not `name:verifier`.
     #[strum(to_string = "line {line} is not NAME:VERIFIER")]
     Line {
-        /// Number of the line, from one.
+        /// Line number, counted from 1.
         line: usize,
     },
-    /// A message of the exchange is wrong, or the password is.
+    /// A message of the exchange is malformed, or the password is wrong.
     #[strum(to_string = "the password is wrong")]
     Refused,
 }
 
 impl std::error::Error for Failure {}
 
-/// What is kept of a password. Its debug form shows nothing of it.
+/// Verifier of a password, stored in place of the password. The `Debug` output shows
+/// none of its content.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Verifier {
     iterations: usize,
     salt: Vec<u8>,
-    stored: Vec<u8>,
-    server: Vec<u8>,
+    stored_key: Vec<u8>,
+    server_key: Vec<u8>,
 }
 
 impl fmt::Debug for Verifier {
@@ -58,34 +60,35 @@
 }
 
 impl Verifier {
-    /// Makes the verifier of a password.
+    /// Computes the verifier of a password.
     pub fn new(password: &str, salt: &[u8]) -> Self {
         let salted = gen_salted_password(password, salt, SCRAM_ITERATIONS);
         let salt = salt.to_vec();
         let secret = ScramSecret::verifier_from_salted_password(salt, salted, SCRAM_ITERATIONS);
         match secret {
             ScramSecret::Verifier { salt, iterations, stored_key, server_key } => {
-                Self { iterations, salt, stored: stored_key, server: server_key }
+                Self { iterations, salt, stored_key, server_key }
             }
             ScramSecret::SaltedPassword { salt, salted_password } => Self {
                 iterations: SCRAM_ITERATIONS,
                 salt,
-                stored: salted_password.clone(),
-                server: salted_password,
+                stored_key: salted_password.clone(),
+                server_key: salted_password,
             },
         }
     }
 
-    /// Starts an exchange with the client's first message.
+    /// Starts an exchange with the client's first message, and returns the server's
+    /// answer.
     ///
     /// # Errors
-    /// [`Failure::Refused`].
+    /// [`Failure::Refused`] if the message is malformed.
     pub fn start(&self, first: &[u8]) -> Result<(String, Exchange), Report<Failure>> {
         let secret = ScramSecret::Verifier {
             salt: self.salt.clone(),
             iterations: self.iterations,
-            stored_key: self.stored.clone(),
-            server_key: self.server.clone(),
+            stored_key: self.stored_key.clone(),
+            server_key: self.server_key.clone(),
         };
         let server = ScramServerAuth::new();
         let started = server.on_client_first_message_with_secret(first, secret);
@@ -96,8 +99,8 @@
 
 impl fmt::Display for Verifier {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (salt, stored) = (STANDARD.encode(&self.salt), STANDARD.encode(&self.stored));
-        let server = STANDARD.encode(&self.server);
+        let (salt, stored) = (STANDARD.encode(&self.salt), STANDARD.encode(&self.stored_key));
+        let server = STANDARD.encode(&self.server_key);
         write!(f, "{MECHANISM}${}:{salt}${stored}:{server}", self.iterations)
     }
 }
@@ -117,34 +120,34 @@
         Ok(Self {
             iterations: iterations.parse().change_context(Failure::Verifier)?,
             salt: STANDARD.decode(salt).change_context(Failure::Verifier)?,
-            stored: key(stored)?,
-            server: key(server)?,
+            stored_key: key(stored)?,
+            server_key: key(server)?,
         })
     }
 }
 
-/// An exchange that waits for the client's last message.
+/// Exchange that is waiting for the client's final message.
 #[derive(Debug)]
 pub struct Exchange(ScramServerAuthWaitingForClientFinal);
 
 impl Exchange {
-    /// Checks the client's last message and returns the server's.
+    /// Verifies the client's final message and returns the server's final message.
     ///
     /// # Errors
-    /// [`Failure::Refused`].
+    /// [`Failure::Refused`] if the message is malformed or the password is wrong.
     pub fn finish(&self, last: &[u8]) -> Result<String, Report<Failure>> {
         self.0.on_client_final_message(last).change_context(Failure::Refused)
     }
 }
 
-/// Users and their verifiers.
+/// Verifiers of all users, by user name.
 #[derive(Clone, Debug, Default)]
 pub struct Users {
     verifiers: BTreeMap<String, Verifier>,
 }
 
 impl Users {
-    /// The verifier of a user.
+    /// Returns the verifier of a user.
     pub fn get(&self, name: &str) -> Option<&Verifier> {
         self.verifiers.get(name)
     }
@@ -160,10 +163,11 @@
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let wrong = Failure::Line { line: index + 1 };
-            let (name, verifier) = line.split_once(':').ok_or(wrong)?;
-            let verifier: Verifier =
-                verifier.parse().map_err(|report: Report<Failure>| report.change_context(wrong))?;
+            let failure = Failure::Line { line: index + 1 };
+            let (name, verifier) = line.split_once(':').ok_or(failure)?;
+            let verifier: Verifier = verifier
+                .parse()
+                .map_err(|report: Report<Failure>| report.change_context(failure))?;
             verifiers.insert(name.to_owned(), verifier);
         }
         Ok(Self { verifiers })
--- a/components/pg/src/setting.rs
+++ b/components/pg/src/setting.rs
@@ -1,8 +1,8 @@
-//! The settings that hold for each session.
+//! Session settings that the front answers without a backend server.
 //!
-//! A connection to a backend server is shared, so no caller can change its
-//! settings. A caller that sets the value that holds anyway is told that it is
-//! set; another value is refused.
+//! Connections to backend servers are shared, so the settings have fixed values that a
+//! caller can't change. A SET to the fixed value succeeds without effect; a SET to any
+//! other value is refused.
 
 use sqlparser::tokenizer::Token;
 
@@ -11,44 +11,44 @@
 /// Name of the setting that carries the session token.
 pub const SESSION: &str = "trefoil.session";
 
-/// Name of the setting that a caller may give any value.
+/// Name of the setting that a caller may set to any value.
 pub const APPLICATION: &str = "application_name";
 
-/// Version of PostgreSQL that callers are told.
+/// Version of PostgreSQL that is reported to callers.
 pub const SERVER_VERSION: &str = "16.0";
 
-/// What the front answers by itself.
+/// Statement that the front answers without a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Local {
-    /// Sets the session by a token.
+    /// Continues the session that a token describes.
     SetSession(String),
-    /// Shows the session's token.
+    /// Shows the token of the session.
     ShowSession,
-    /// Forgets the session.
+    /// Resets the session to one without a token.
     ResetSession,
-    /// Sets the caller's name for itself.
+    /// Sets the application name of the caller.
     SetApplication(String),
-    /// Shows it.
+    /// Shows the application name.
     ShowApplication,
-    /// Sets what holds anyway.
+    /// Sets a setting to its fixed value, without effect.
     Set,
-    /// Resets what holds anyway.
+    /// Resets a setting to its fixed value, without effect.
     Reset,
-    /// Shows what holds.
+    /// Shows the fixed value of a setting.
     Show {
         /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// Value of the setting.
         value: &'static str,
     },
-    /// Drops all that the session holds.
+    /// Discards all state of the session.
     DiscardAll,
-    /// Drops all statements that the session prepared.
+    /// Closes all prepared statements of the session.
     DeallocateAll,
 }
 
 impl Local {
-    /// The tag that ends the statement.
+    /// Command tag of the answer.
     pub fn tag(&self) -> &'static str {
         match self {
             Self::SetSession(_) | Self::SetApplication(_) | Self::Set => "SET",
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Name of the column that it returns, if it returns one.
+    /// Name of the column in the answer, or `None` if the answer has no rows.
     pub fn column(&self) -> Option<&'static str> {
         match self {
             Self::ShowSession => Some(SESSION),
@@ -70,24 +70,25 @@
     }
 }
 
+/// Setting with a fixed value.
 struct Setting {
     name: &'static str,
     value: &'static str,
-    /// Values that mean the same, in small letters without spaces or quotes.
-    same: &'static [&'static str],
+    /// Accepted spellings of the value, in lower case without spaces or quotes.
+    accepted: &'static [&'static str],
 }
 
 const fn setting(
     name: &'static str,
     value: &'static str,
-    same: &'static [&'static str],
+    accepted: &'static [&'static str],
 ) -> Setting {
-    Setting { name, value, same }
+    Setting { name, value, accepted }
 }
 
 const ON: &[&str] = &["on", "true", "yes", "1"];
 const OFF: &[&str] = &["off", "false", "no", "0"];
-const NONE: &[&str] = &["0", "0ms", "0s"];
+const ZERO: &[&str] = &["0", "0ms", "0s"];
 
 const SETTINGS: &[Setting] = &[
     setting("bytea_output", "hex", &["hex"]),
@@ -97,16 +98,16 @@
     setting("default_transaction_isolation", "read committed", &["readcommitted"]),
     setting("default_transaction_read_only", "off", OFF),
     setting("extra_float_digits", "1", &["1", "2", "3"]),
-    setting("idle_in_transaction_session_timeout", "0", NONE),
+    setting("idle_in_transaction_session_timeout", "0", ZERO),
     setting("IntervalStyle", "postgres", &["postgres"]),
-    setting("lock_timeout", "0", NONE),
+    setting("lock_timeout", "0", ZERO),
     setting("search_path", "\"$user\", public", &["$user,public"]),
     setting("standard_conforming_strings", "on", ON),
-    setting("statement_timeout", "0", NONE),
+    setting("statement_timeout", "0", ZERO),
     setting("TimeZone", "UTC", &["utc", "etc/utc"]),
 ];
 
-/// Settings that a caller is told of at login.
+/// Settings that are reported to a caller at login, with their values.
 pub const REPORTED: &[(&str, &str)] = &[
     ("server_version", SERVER_VERSION),
     ("server_encoding", "UTF8"),
@@ -121,7 +122,10 @@
     ("TimeZone", "UTC"),
 ];
 
-/// What setting a value comes to; `None` stands for the default.
+/// Returns the effect of setting `name` to `value`; `None` stands for the default.
+///
+/// # Errors
+/// [`Feature::Setting`] if the setting can't have this value.
 pub fn assign(name: &str, value: Option<&str>) -> Result<Local, Feature> {
     if name.eq_ignore_ascii_case(SESSION) {
         let token = value.filter(|token| !token.is_empty());
@@ -131,9 +135,9 @@
         return Ok(Local::SetApplication(value.unwrap_or_default().to_owned()));
     }
     let setting = find(name).ok_or(Feature::Setting)?;
-    let normal = value.map(normalize);
-    match normal {
-        Some(value) if !setting.same.contains(&value.as_str()) => Err(Feature::Setting),
+    let normalized = value.map(normalize);
+    match normalized {
+        Some(value) if !setting.accepted.contains(&value.as_str()) => Err(Feature::Setting),
         _ => Ok(Local::Set),
     }
 }
@@ -147,36 +151,38 @@
     SETTINGS.iter().find(|setting| setting.name.eq_ignore_ascii_case(name))
 }
 
-fn answered(result: Result<Local, Feature>) -> Statement {
+fn local_or_refused(result: Result<Local, Feature>) -> Statement {
     result.map_or_else(Statement::Refused, Statement::Local)
 }
 
-/// What follows SET.
+/// Classifies a SET statement by the tokens after SET.
 pub(crate) fn set(tokens: &[&Token]) -> Statement {
     match word(tokens.first()).as_deref() {
-        // these end with the transaction
+        // the effect of these ends with the transaction
         Some("LOCAL" | "TRANSACTION" | "CONSTRAINTS") => Statement::Remote(Verb::Other),
         Some("SESSION") if word(tokens.get(1)).is_some() => set(&tokens[1..]),
         Some("TIME") if word(tokens.get(1)).is_some_and(|word| word == "ZONE") => {
-            answered(assign("TimeZone", value(&tokens[2..]).as_deref()))
+            local_or_refused(assign("TimeZone", join_values(&tokens[2..]).as_deref()))
         }
-        Some("NAMES") => answered(assign("client_encoding", value(&tokens[1..]).as_deref())),
-        _ => named(tokens).map_or(Statement::Refused(Feature::Setting), |(name, rest)| {
-            let is_sign = match rest.first() {
+        Some("NAMES") => {
+            local_or_refused(assign("client_encoding", join_values(&tokens[1..]).as_deref()))
+        }
+        _ => split_name(tokens).map_or(Statement::Refused(Feature::Setting), |(name, rest)| {
+            let is_assignment = match rest.first() {
                 Some(Token::Eq) => true,
                 token => word(token).is_some_and(|word| word == "TO"),
             };
-            if !is_sign || rest.len() < 2 {
+            if !is_assignment || rest.len() < 2 {
                 return Statement::Refused(Feature::Setting);
             }
-            answered(assign(&name, value(&rest[1..]).as_deref()))
+            local_or_refused(assign(&name, join_values(&rest[1..]).as_deref()))
         }),
     }
 }
 
-/// What follows RESET.
+/// Classifies a RESET statement by the tokens after RESET.
 pub(crate) fn reset(tokens: &[&Token]) -> Statement {
-    let Some((name, _)) = named(tokens) else {
+    let Some((name, _)) = split_name(tokens) else {
         return Statement::Refused(Feature::Setting);
     };
     if name.eq_ignore_ascii_case("all") {
@@ -184,13 +190,13 @@
     }
     match assign(&name, None) {
         Ok(Local::Set) => Statement::Local(Local::Reset),
-        result => answered(result),
+        result => local_or_refused(result),
     }
 }
 
-/// What follows SHOW.
+/// Classifies a SHOW statement by the tokens after SHOW.
 pub(crate) fn show(tokens: &[&Token]) -> Statement {
-    let Some((name, _)) = named(tokens) else {
+    let Some((name, _)) = split_name(tokens) else {
         return Statement::Remote(Verb::Other);
     };
     if name.eq_ignore_ascii_case(SESSION) {
@@ -200,15 +206,15 @@
         return Statement::Local(Local::ShowApplication);
     }
     let reported = REPORTED.iter().find(|(reported, _)| reported.eq_ignore_ascii_case(&name));
-    let held = find(&name).map(|setting| (setting.name, setting.value));
-    match held.or(reported.copied()) {
+    let fixed = find(&name).map(|setting| (setting.name, setting.value));
+    match fixed.or(reported.copied()) {
         Some((name, value)) => Statement::Local(Local::Show { name, value }),
         None => Statement::Remote(Verb::Other),
     }
 }
 
-/// A name with periods in it, and what follows it.
-fn named<'a, 'b>(tokens: &'a [&'b Token]) -> Option<(String, &'a [&'b Token])> {
+/// Splits a name, which may contain periods, from the tokens after it.
+fn split_name<'a, 'b>(tokens: &'a [&'b Token]) -> Option<(String, &'a [&'b Token])> {
     let Some(Token::Word(first)) = tokens.first() else {
         return None;
     };
@@ -222,8 +228,8 @@
     Some((name, rest))
 }
 
-/// A list of values as one text; `None` for DEFAULT.
-fn value(tokens: &[&Token]) -> Option<String> {
+/// Joins a list of values into one text; `None` for DEFAULT.
+fn join_values(tokens: &[&Token]) -> Option<String> {
     let mut text = String::new();
     for token in tokens {
         match token {
--- a/components/pg/src/startup.rs
+++ b/components/pg/src/startup.rs
@@ -1,4 +1,4 @@
-//! The packets before login.
+//! Packets that a caller sends before login.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,65 +9,67 @@
 use pgwire::messages::startup::{GssEncRequest, SslRequest, Startup};
 use pgwire::messages::{DecodeContext, Message, ProtocolVersion};
 
-/// Longest packet before login in bytes.
+/// Longest packet before login, in bytes.
 pub const MAX_BYTES: usize = 10_000;
 
+/// Bytes of the length and the request code at the start of a packet.
 const HEAD_BYTES: usize = 8;
 
-/// Least length of a cancel request: head, process and a secret of four bytes.
+/// Length of a cancel request in bytes: head, process and a secret of four bytes.
 const CANCEL_BYTES: usize = 16;
 
-/// Bytes that start no session.
+/// Error in a packet before login.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// The length is out of bounds.
+    /// The length is below the size of the head or above [`MAX_BYTES`].
     #[strum(to_string = "a start-up packet has no such length")]
     Length,
-    /// It can't be read.
+    /// The packet can't be decoded.
     #[strum(to_string = "the start-up packet can't be read")]
     Malformed,
 }
 
 impl std::error::Error for Failure {}
 
-/// A packet before login.
+/// Packet before login.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Packet {
-    /// Asks for TLS.
+    /// Request for TLS.
     Tls,
-    /// Asks for GSSAPI encryption.
+    /// Request for GSSAPI encryption.
     Gss,
-    /// Asks to cancel what a session runs.
+    /// Request to cancel the running request of a session.
     Cancel(CancelKey),
-    /// Starts a session.
+    /// Start of a session.
     Start(Start),
 }
 
-/// The session that a cancel request names.
+/// Key that identifies a session in a cancel request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CancelKey {
-    /// Number of the session.
+    /// Process number that the session was given at login.
     pub process: i32,
-    /// Its secret.
+    /// Secret that proves that the sender may cancel.
     pub secret: i32,
 }
 
-/// The start of a session.
+/// Startup message of a session.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Start {
-    /// Minor version of the protocol that the caller asks for.
+    /// Minor version of the protocol that the caller requests.
     pub minor: u16,
-    /// Parameters by name.
+    /// Startup parameters by name, such as `user` and `database`.
     pub parameters: BTreeMap<String, String>,
 }
 
 impl Start {
-    /// A parameter that is given and not empty.
+    /// Returns the value of a parameter, or `None` if it is missing or empty.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.parameters.get(name).map(String::as_str).filter(|value| !value.is_empty())
     }
 
-    /// Settings given as `-c name=value` in the parameter `options`.
+    /// Returns the settings given as `-c name=value` or `--name=value` in the parameter
+    /// `options`.
     pub fn options(&self) -> impl Iterator<Item = (&str, &str)> {
         let words = self.get("options").unwrap_or_default().split_whitespace();
         let settings = words.filter(|word| *word != "-c" && *word != "--");
@@ -77,7 +79,8 @@
         })
     }
 
-    /// Parameters of the protocol itself that this release does not know.
+    /// Returns the names of protocol options, which begin with `_pq_.`; none of them is
+    /// supported.
     pub fn unknown(&self) -> impl Iterator<Item = &str> {
         self.parameters.keys().map(String::as_str).filter(|name| name.starts_with("_pq_."))
     }
@@ -89,10 +92,10 @@
     }
 }
 
-/// Takes the first packet, if it is whole.
+/// Takes the first packet from a buffer; `None` if it is incomplete.
 ///
 /// # Errors
-/// Each [`Failure`].
+/// Any [`Failure`].
 pub fn take(buffer: &mut BytesMut) -> Result<Option<Packet>, Report<Failure>> {
     let Some(head) = buffer.first_chunk::<HEAD_BYTES>() else {
         return Ok(None);
--- a/components/pg/tests/cycles.rs
+++ b/components/pg/tests/cycles.rs
@@ -1,5 +1,5 @@
-//! Cycles out of any bytes, and answers that are right whoever used the
-//! connection before.
+//! Fuzz tests: grouping of arbitrary bytes into cycles, and correct answers on a
+//! connection that several callers share.
 
 mod server;
 
@@ -14,20 +14,22 @@
 use pgwire::messages::simplequery::Query;
 use server::Server;
 
-/// Schedules of one fuzz run.
+/// Number of seeds of each test.
 fn schedules() -> u64 {
     std::env::var("TREFOIL_FUZZ_SCHEDULES").map_or(300, |text| text.parse().unwrap())
 }
 
+/// Size of the random input of one seed, as the low half of an `arbtest` seed.
 const SIZE: u64 = 4_096;
 
+/// Caller on the shared connection, with a dedicated connection for comparison.
 #[derive(Debug, Default)]
 struct Model {
     caller: Caller,
     prepared: Prepared,
     input: BytesMut,
-    /// A connection of its own, which gets the messages as they are.
-    own: Server,
+    /// Dedicated connection of the caller, which gets the messages unchanged.
+    dedicated: Server,
 }
 
 const TEXTS: [&str; 7] =
@@ -50,11 +52,12 @@
     extended(u, 0)
 }
 
-/// Messages up to a Sync, with this many Flushes in ten among them.
-fn extended(u: &mut Unstructured<'_>, flushes: u8) -> Result<Bytes> {
+/// Makes extended messages up to a Sync. Before each message, a Flush is inserted with
+/// a probability of `flush_tenths` in ten.
+fn extended(u: &mut Unstructured<'_>, flush_tenths: u8) -> Result<Bytes> {
     let mut bytes = BytesMut::new();
     for _ in 0..u.int_in_range(0..=8)? {
-        if flushes > 0 && u.ratio(flushes, 10)? {
+        if flush_tenths > 0 && u.ratio(flush_tenths, 10)? {
             Flush::new().encode(&mut bytes).unwrap();
         }
         let target = *u.choose(b"SP")?;
@@ -71,7 +74,8 @@
     Ok(bytes.freeze())
 }
 
-/// Gives bytes to a caller in pieces of any size; one cycle comes out.
+/// Feeds bytes to a caller in pieces of random size, and returns the single cycle that
+/// they form.
 fn feed(u: &mut Unstructured<'_>, model: &mut Model, mut bytes: &[u8]) -> Result<Cycle> {
     loop {
         let length = u.int_in_range(1..=bytes.len())?;
@@ -90,13 +94,13 @@
     }
 }
 
-/// What a caller gets.
+/// Answer that a caller receives.
 struct Answer {
     bytes: Bytes,
     failed: bool,
 }
 
-/// Runs a cycle on the shared connection and returns what the caller gets.
+/// Runs a cycle on the shared connection and returns the answer to the caller.
 fn run(
     u: &mut Unstructured<'_>,
     model: &mut Model,
@@ -115,13 +119,13 @@
     };
     let mut answer = server.run(plan.payload.clone());
     let mut filter = Filter::new(&plan.expected);
-    let mut passed = BytesMut::new();
+    let mut forwarded = BytesMut::new();
     let mut part = BytesMut::new();
     while let Some(frame) = frame::next(&mut answer).unwrap() {
         part.extend_from_slice(&frame.bytes);
         if u.ratio(1, 2)? || answer.is_empty() {
             for piece in filter.feed(&part.split().freeze()).unwrap() {
-                passed.extend_from_slice(&piece);
+                forwarded.extend_from_slice(&piece);
             }
         }
     }
@@ -131,23 +135,23 @@
     if server.status == Status::Idle {
         model.prepared.release_slots();
     }
-    Ok(Answer { bytes: passed.freeze(), failed: filter.has_error() })
+    Ok(Answer { bytes: forwarded.freeze(), failed: filter.has_error() })
 }
 
-/// Runs a cycle whose answers are asked for in parts; the messages up to a part
-/// that is refused, and what the caller gets for them.
+/// Runs a cycle whose parts are flushed. Returns the messages that were run, which end
+/// before the first refused part, and the answer to the caller.
 fn run_parts(
     u: &mut Unstructured<'_>,
     model: &mut Model,
     server: &mut Server,
     bytes: &[u8],
 ) -> Result<(Bytes, Bytes)> {
-    let (mut taken, mut passed) = (BytesMut::new(), BytesMut::new());
-    let (mut waiting, mut over) = (BytesMut::new(), false);
+    let (mut accepted, mut forwarded) = (BytesMut::new(), BytesMut::new());
+    let (mut pending, mut failed) = (BytesMut::new(), false);
     let mut input = BytesMut::from(bytes);
     while let Some(frame) = frame::take(&mut input).unwrap() {
-        if !over {
-            waiting.extend_from_slice(&frame.bytes);
+        if !failed {
+            pending.extend_from_slice(&frame.bytes);
         }
         let cycle = match model.caller.on(&frame) {
             Step::Wait | Step::Recover => continue,
@@ -156,41 +160,39 @@
                 let in_transaction = server.status != Status::Idle;
                 if !model.prepared.look_up(&messages).is_separable(in_transaction) {
                     model.caller.skip_to_sync();
-                    (waiting, over) = (BytesMut::new(), true);
+                    (pending, failed) = (BytesMut::new(), true);
                     continue;
                 }
                 Cycle::Extended(messages)
             }
             step => panic!("{step:?}"),
         };
-        taken.extend_from_slice(&waiting.split());
+        accepted.extend_from_slice(&pending.split());
         let answer = run(u, model, server, cycle)?;
-        passed.extend_from_slice(&answer.bytes);
+        forwarded.extend_from_slice(&answer.bytes);
         if answer.failed && frame.kind == b'H' {
             model.caller.skip_to_sync();
-            over = true;
+            failed = true;
         }
     }
     assert!(model.caller.is_idle());
-    Ok((taken.freeze(), passed.freeze()))
+    Ok((accepted.freeze(), forwarded.freeze()))
 }
 
-/// Three callers that share a connection, in turns.
-fn taking_turns(
-    mut turn: impl FnMut(&mut Unstructured<'_>, &mut Model, &mut Server) -> Result<()>,
-) {
+/// Runs `turn` for three callers that share a connection, in random order.
+fn take_turns(mut turn: impl FnMut(&mut Unstructured<'_>, &mut Model, &mut Server) -> Result<()>) {
     for seed in 0..schedules() {
         arbtest(|u| {
             let mut shared = Server::default();
             let mut models = [Model::default(), Model::default(), Model::default()];
-            let mut at = 0;
+            let mut current = 0;
             for _ in 0..u.int_in_range(1..=24)? {
-                // a transaction has the connection to itself
+                // the connection belongs to one caller during a transaction
                 if shared.status == Status::Idle {
-                    at = u.choose_index(models.len())?;
+                    current = u.choose_index(models.len())?;
                 }
-                turn(u, &mut models[at], &mut shared)?;
-                assert_eq!(shared.status, models[at].own.status, "seed {seed}");
+                turn(u, &mut models[current], &mut shared)?;
+                assert_eq!(shared.status, models[current].dedicated.status, "seed {seed}");
             }
             Ok(())
         })
@@ -200,28 +202,28 @@
 }
 
 #[test]
-fn answers_are_those_of_a_connection_of_its_own() {
-    taking_turns(|u, model, shared| {
+fn answers_match_a_dedicated_connection() {
+    take_turns(|u, model, shared| {
         let bytes = cycle(u)?;
-        let taken = feed(u, model, &bytes)?;
-        let answer = run(u, model, shared, taken)?;
-        assert_eq!(answer.bytes, model.own.run(bytes));
+        let cycle = feed(u, model, &bytes)?;
+        let answer = run(u, model, shared, cycle)?;
+        assert_eq!(answer.bytes, model.dedicated.run(bytes));
         Ok(())
     });
 }
 
 #[test]
-fn answers_that_are_asked_for_early_are_those_of_a_connection_of_its_own() {
-    taking_turns(|u, model, shared| {
+fn flushed_answers_match_a_dedicated_connection() {
+    take_turns(|u, model, shared| {
         let bytes = extended(u, 4)?;
-        let (taken, answer) = run_parts(u, model, shared, &bytes)?;
-        assert_eq!(answer, model.own.run(taken));
+        let (accepted, answer) = run_parts(u, model, shared, &bytes)?;
+        assert_eq!(answer, model.dedicated.run(accepted));
         Ok(())
     });
 }
 
 #[test]
-fn any_bytes_end_in_a_step() {
+fn arbitrary_bytes_do_not_panic() {
     for seed in 0..schedules() {
         arbtest(|u| {
             let mut caller = Caller::new();
@@ -241,7 +243,7 @@
 }
 
 #[test]
-fn mutated_messages_end_in_a_step() {
+fn mutated_messages_do_not_panic() {
     for seed in 0..schedules() {
         arbtest(|u| {
             let mut bytes = cycle(u)?.to_vec();
--- a/components/pg/tests/scan.rs
+++ b/components/pg/tests/scan.rs
@@ -1,4 +1,4 @@
-//! What texts of SQL ask for.
+//! Tests of the classification of SQL text.
 
 use pg::Scan;
 use pg::scan::{Feature, Statement, Verb, strip_leading_comments};
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn can_tell_what_commits() {
+fn can_find_statements_that_commit() {
     for text in ["commit", "END", "call pay()", "do $$ begin end $$", "update t set x = 1; commit"]
     {
         assert!(Scan::new(text).commits(), "{text}");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn refuses_what_a_shared_connection_cannot_carry() {
+fn refuses_unsupported_features() {
     let cases = [
         ("LISTEN x", Feature::Listen),
         ("unlisten *", Feature::Listen),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn carries_what_ends_with_the_transaction() {
+fn accepts_effects_that_end_with_the_transaction() {
     for text in [
         "set local lock_timeout = 5",
         "set transaction isolation level serializable",
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn answers_settings_that_hold() {
+fn answers_settings_with_their_fixed_value() {
     for text in [
         "SET extra_float_digits = 3",
         "set client_encoding to 'UTF8'",
--- a/components/pg/tests/server/mod.rs
+++ b/components/pg/tests/server/mod.rs
@@ -1,5 +1,5 @@
-//! A model of one connection to a backend server: statements, portals and the
-//! status of the transaction, nothing else.
+//! Model of a connection to a backend server, with prepared statements, portals and the
+//! status of the transaction.
 
 use std::collections::HashMap;
 
@@ -8,12 +8,12 @@
 use pg::client::{Message, Target};
 use pg::{Code, Problem};
 
-/// One connection.
+/// Model of one connection.
 #[derive(Debug, Default)]
 pub struct Server {
     statements: HashMap<String, String>,
     portals: HashMap<String, String>,
-    /// Status of its transaction.
+    /// Transaction status of the connection.
     pub status: Status,
 }
 
@@ -21,13 +21,13 @@
     name.cloned().unwrap_or_default()
 }
 
-/// An error of the server, told apart by its message.
+/// Makes an error of the server; errors differ only in their message.
 fn error(message: &'static str) -> Problem {
     Problem::new(Code::Value, message)
 }
 
 impl Server {
-    /// Answers the messages of one cycle, without its end.
+    /// Answers the messages of one cycle, without the ReadyForQuery.
     pub fn run(&mut self, mut payload: Bytes) -> Bytes {
         let mut out = Writer::new();
         while let Some(frame) = pg::frame::next(&mut payload).unwrap() {
@@ -59,7 +59,7 @@
                     return Err(error("syntax"));
                 }
                 if !name.is_empty() && self.statements.contains_key(&name) {
-                    // in a failed transaction either error is right
+                    // in a failed transaction, both errors are correct
                     self.check("")?;
                     return Err(error("taken statement"));
                 }
@@ -100,7 +100,7 @@
                 out.closed();
             }
             Message::Sync | Message::Flush => {}
-            other => panic!("{other:?} is not for a server"),
+            other => panic!("{other:?} is not a message to a server"),
         }
         Ok(())
     }
--- a/components/plain/src/answer.rs
+++ b/components/plain/src/answer.rs
@@ -1,24 +1,24 @@
-//! What callers are told.
+//! Messages to callers.
 
 use bytes::Bytes;
 
-/// One message to a caller.
+/// Message to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A row, as the server sent it.
+    /// Row of a result, as sent by the backend server.
     Row(Bytes),
-    /// The statement succeeded; what the server closed it with, or `None` where
-    /// no server was asked.
+    /// Success of a statement, with the content of the server's completion message;
+    /// `None` if no backend server was involved.
     Complete(Option<Bytes>),
-    /// A server's error, as it came.
+    /// Error of a backend server, as received.
     Error(Bytes),
-    /// The system's own error.
+    /// Error of the proxy itself.
     Problem(Problem),
-    /// The answer is over, or the session stands.
+    /// End of an answer, or of the start of a session.
     Ready(Status),
 }
 
-/// Where a session stands between two statements.
+/// Transaction status of a session between two statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum Status {
@@ -26,26 +26,26 @@
     Idle,
     /// In a transaction.
     Open,
-    /// In a transaction that failed and is to be rolled back.
+    /// In a transaction that failed and must be rolled back.
     Failed,
 }
 
-/// An error of the system.
+/// Error that the proxy itself reports to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Problem {
-    /// Not run, for want of room or time.
+    /// The statement was not run, because there was no capacity or no time left.
     Busy,
-    /// The transaction is gone; nothing of it is kept.
+    /// The transaction was lost; none of its changes is kept.
     Aborted,
-    /// It may have run.
+    /// The statement may have run.
     Unknown,
-    /// It took too long and may have run.
+    /// The statement exceeded its deadline and may have run.
     Timeout,
-    /// No database of that name.
+    /// No database has the requested name.
     Database,
-    /// The text is no statement, or is not allowed here.
+    /// The text is not a valid statement, or the statement is not allowed here.
     Malformed,
-    /// No prepared statement of that name.
+    /// No prepared statement has the requested name.
     Unprepared,
 }
--- a/components/plain/src/dialect.rs
+++ b/components/plain/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The edge where plain types become bytes and bytes become plain types.
+//! Encoding and decoding of the plain types for a protocol.
 
 use std::fmt;
 
@@ -9,34 +9,35 @@
 use crate::server::{Order, Reply};
 use crate::statement::Request;
 
-/// Bytes that can't be read; the connection is of no use after them.
+/// Error for bytes that can't be decoded; the connection must be closed after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the bytes are no message of the protocol")
+        f.write_str("the bytes are not a valid message of the protocol")
     }
 }
 
 impl std::error::Error for Malformed {}
 
-/// A protocol that carries plain statements, towards callers and towards
-/// backend servers.
+/// Protocol that carries plain statements between callers, the proxy and backend
+/// servers.
 pub trait Dialect: Send + Sync + fmt::Debug {
-    /// Takes the next whole message of a caller out of its bytes.
+    /// Takes the next message of a caller from `input`; `None` if it is incomplete.
     ///
     /// # Errors
     /// [`Malformed`], also for a message that is too long.
     fn decode_request(&self, input: &mut BytesMut) -> Result<Option<Request>, Report<Malformed>>;
 
-    /// Puts a message to a caller into bytes.
+    /// Appends an encoded message to a caller to `out`.
     fn encode_answer(&self, answer: &Answer, out: &mut BytesMut);
 
-    /// Puts a message to a server into bytes.
+    /// Appends an encoded message to a backend server to `out`.
     fn encode_order(&self, order: &Order, out: &mut BytesMut);
 
-    /// Takes the next whole message of a server out of its bytes.
+    /// Takes the next message of a backend server from `input`; `None` if it is
+    /// incomplete.
     ///
     /// # Errors
     /// [`Malformed`], also for a message that is too long.
--- a/components/plain/src/lib.rs
+++ b/components/plain/src/lib.rs
@@ -1,10 +1,9 @@
-//! Plain statements: what a caller may ask and how it is answered, free of any
-//! protocol.
+//! Protocol-independent types of statements, answers and backend requests.
 //!
-//! - [`statement`]: what callers ask.
-//! - [`answer`]: what they are told.
-//! - [`server`]: what is asked of a backend server, and what it replies.
-//! - [`dialect`]: the edge where these types become bytes.
+//! - [`statement`]: messages of callers.
+//! - [`answer`]: messages to callers.
+//! - [`server`]: messages to and from backend servers.
+//! - [`dialect`]: trait of a protocol that encodes and decodes these types.
 
 pub mod answer;
 pub mod dialect;
--- a/components/plain/src/server.rs
+++ b/components/plain/src/server.rs
@@ -1,4 +1,4 @@
-//! What is asked of a backend server, and what it replies.
+//! Messages to and from backend servers.
 
 use base::prelude::*;
 use bytes::Bytes;
@@ -6,113 +6,114 @@
 use crate::answer::Status;
 use crate::statement::Access;
 
-/// One message to a server.
+/// Message to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Begin a session.
+    /// Starts a session.
     Start {
-        /// Group that the server is to belong to.
+        /// Group to which the server is expected to belong.
         group: Name,
-        /// Name that the server is to have.
+        /// Expected name of the server.
         server: Name,
     },
-    /// Run a caller's statement as it came.
+    /// Runs a caller's statement unchanged.
     Run {
-        /// The caller's id of it.
+        /// Id that the caller gave the statement.
         id: Bytes,
-        /// What the server must show first.
+        /// Position that the server must have reached before it runs this.
         wait: Option<Mark>,
         /// Text of the statement.
         text: Bytes,
     },
-    /// Execute a caller's prepared statement.
+    /// Executes a caller's prepared statement.
     Execute {
-        /// The caller's id of it.
+        /// Id that the caller gave the statement.
         id: Bytes,
-        /// What the server must show first.
+        /// Position that the server must have reached before it runs this.
         wait: Option<Mark>,
-        /// Number under which it is prepared on this connection.
+        /// Number under which the statement is prepared on this connection.
         number: u64,
-        /// Arguments as they came.
+        /// Arguments of the statement, as received.
         arguments: Bytes,
     },
-    /// Prepare a statement on this connection.
+    /// Prepares a statement on this connection.
     Prepare {
-        /// Number to give it.
+        /// Number for the statement on this connection.
         number: u64,
-        /// What it does.
+        /// Whether the statement only reads.
         access: Access,
-        /// What is prepared.
+        /// Definition of the statement.
         shape: Bytes,
     },
-    /// Set a value of the session.
+    /// Sets a session variable.
     Set {
-        /// Its name.
+        /// Name of the session variable.
         name: Bytes,
-        /// The value.
+        /// Value of the session variable.
         value: Bytes,
     },
-    /// Forget all values and prepared statements.
+    /// Discards all session variables and prepared statements.
     Reset,
-    /// Begin a transaction.
+    /// Begins a transaction.
     Begin {
-        /// What the server must show first.
+        /// Position that the server must have reached before it runs this.
         wait: Option<Mark>,
-        /// What it does.
+        /// Whether the transaction only reads.
         access: Access,
     },
-    /// Roll the transaction back.
+    /// Rolls the transaction back.
     Rollback,
-    /// Report where the server stands.
+    /// Requests a status report of the server.
     Status,
 }
 
-/// One message of a server.
+/// Message of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A row.
+    /// Row of a result.
     Row(Bytes),
-    /// Success, and what the server closed it with.
+    /// Success of a statement, with the content of the completion message.
     Complete(Bytes),
-    /// An error.
+    /// Error of a statement or of the start of a session.
     Error {
-        /// What it means.
+        /// Class of the error.
         fault: Fault,
-        /// The error as it came.
+        /// Error as received.
         text: Bytes,
     },
-    /// The answer is over.
+    /// End of an answer.
     Ready {
-        /// Where the session stands.
+        /// Transaction status of the session.
         status: Status,
-        /// Last record that reads on the server show; on a primary the last one.
+        /// Position of the last record that is visible to reads on the server; on a
+        /// primary, of the last record in its log.
         mark: Option<Mark>,
     },
 }
 
-/// What an error of a server means.
+/// Class of an error of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
-    /// Not run: no slot is free.
+    /// The statement was not run: the server has no free slot.
     Busy,
-    /// Not run: its log lacks the record that it must show.
+    /// The statement was not run: the server has not reached the required position.
     Behind,
-    /// Not run: it is no primary.
+    /// The statement was not run: the server is not a primary.
     ReadOnly,
-    /// Not run: no prepared statement of that name.
+    /// The statement was not run: no prepared statement has this name.
     Unprepared,
-    /// No session: another server answers at the address.
+    /// The session was refused: another server answers at the address.
     #[strum(serialize = "stranger")]
     WrongServer,
-    /// No session: too many connections.
+    /// The session was refused: the server has too many connections.
     Full,
-    /// It ran, or may have.
+    /// The statement ran or may have run.
     Failed,
 }
 
 impl Fault {
-    /// Whether the statement surely did not run.
+    /// Whether the statement is proved not to have run.
     pub fn is_not_run(self) -> bool {
         self != Self::Failed
     }
--- a/components/plain/src/statement.rs
+++ b/components/plain/src/statement.rs
@@ -1,81 +1,81 @@
-//! What callers ask.
+//! Messages of callers.
 
 use bytes::Bytes;
 
-/// One message of a caller.
+/// Message of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Begin a session on a database. The first message, and only that.
+    /// Starts a session on a database. Allowed only as the first message.
     Start {
         /// Name of the database.
         database: String,
     },
-    /// Run a statement.
+    /// Runs a statement.
     Query(Query),
-    /// End the session.
+    /// Ends the session.
     Terminate,
 }
 
-/// A statement and its id.
+/// Statement with its id, as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// The caller's id of it.
+    /// Id that the caller gave the statement.
     pub id: Bytes,
-    /// Its text as it came.
+    /// Text of the statement, as received.
     pub text: Bytes,
-    /// What it says; `None` where the text is no statement.
+    /// Decoded statement; `None` if the text is not a valid statement.
     pub statement: Option<Statement>,
 }
 
-/// A statement.
+/// Statement of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// Begin a transaction.
+    /// Begins a transaction.
     Begin(Access),
-    /// Commit it.
+    /// Commits the transaction.
     Commit,
-    /// Roll it back.
+    /// Rolls the transaction back.
     Rollback,
-    /// Read; the text says what.
+    /// Reads, as [`Query::text`] specifies.
     Read,
-    /// Write; the text says what.
+    /// Writes, as [`Query::text`] specifies.
     Write,
-    /// Set a value of the session.
+    /// Sets a session variable.
     Set {
-        /// Its name.
+        /// Name of the session variable.
         name: Bytes,
-        /// The value.
+        /// Value of the session variable.
         value: Bytes,
     },
-    /// Prepare a statement.
+    /// Prepares a statement.
     Prepare {
-        /// Name in the session.
+        /// Name of the prepared statement in the session.
         name: Bytes,
-        /// What it does.
+        /// Whether the prepared statement only reads.
         access: Access,
-        /// What is prepared.
+        /// Definition of the prepared statement.
         shape: Bytes,
     },
-    /// Execute a prepared statement.
+    /// Executes a prepared statement.
     Execute {
-        /// Name in the session.
+        /// Name of the prepared statement in the session.
         name: Bytes,
-        /// Arguments as they came.
+        /// Arguments of the statement, as received.
         arguments: Bytes,
     },
-    /// Forget a prepared statement.
+    /// Discards a prepared statement.
     Deallocate {
-        /// Name in the session.
+        /// Name of the prepared statement in the session.
         name: Bytes,
     },
 }
 
-/// Whether something only reads.
+/// Kind of access that a statement or transaction needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum Access {
-    /// It only reads.
+    /// Only reads.
     Read,
-    /// It may write.
+    /// May write.
     Write,
 }
