--- a/components/pg/src/answer.rs
+++ b/components/pg/src/answer.rs
@@ -89,18 +89,18 @@
         self.put(step);
     }
 
-    /// Appends a NegotiateProtocolVersion: the minor version is 0, and the `unknown`
+    /// Appends a `NegotiateProtocolVersion`: the minor version is 0, and the `unknown`
     /// protocol options are not supported.
     pub fn negotiate(&mut self, unknown: Vec<String>) {
         self.put(&NegotiateProtocolVersion::new(0, unknown));
     }
 
-    /// Appends a BackendKeyData with the key that cancels requests of the session.
+    /// Appends a `BackendKeyData` with the key that cancels requests of the session.
     pub fn cancel_key(&mut self, key: CancelKey) {
         self.put(&BackendKeyData::new(key.process, SecretKey::I32(key.secret)));
     }
 
-    /// Appends a ParameterStatus with the value of a setting.
+    /// Appends a `ParameterStatus` with the value of a setting.
     pub fn parameter(&mut self, name: &str, value: &str) {
         self.put(&ParameterStatus::new(name.to_owned(), value.to_owned()));
     }
@@ -158,7 +158,7 @@
         self.put(&ParameterDescription::new(Vec::new()));
     }
 
-    /// Appends the description of rows with one text column, or NoData for `None`.
+    /// Appends the description of rows with one text column, or `NoData` for `None`.
     pub fn column(&mut self, name: Option<&str>) {
         match name {
             Some(name) => {
@@ -177,7 +177,7 @@
         self.put(&DataRow::new(data, 1));
     }
 
-    /// Appends a CommandComplete with a command tag such as `SET`.
+    /// Appends a `CommandComplete` with a command tag such as `SET`.
     pub fn complete(&mut self, tag: &str) {
         self.put(&CommandComplete::new(tag.to_owned()));
     }
--- a/components/pg/src/scan.rs
+++ b/components/pg/src/scan.rs
@@ -64,7 +64,7 @@
     #[strum(serialize = "Flush after a statement that runs outside a transaction is not \
                          carried; end the cycle with Sync. Nothing of it was run")]
     Flush,
-    /// Function calls by object id, with the FunctionCall message.
+    /// Function calls by object id, with the `FunctionCall` message.
     #[strum(serialize = "calls of functions by number are not carried")]
     FunctionCall,
     /// Replication connections.
--- a/components/pg/tests/server/mod.rs
+++ b/components/pg/tests/server/mod.rs
@@ -59,7 +59,7 @@
                     return Err(error("syntax"));
                 }
                 if !name.is_empty() && self.statements.contains_key(&name) {
-                    // in a failed transaction, both errors are correct
+                    // in a failed transaction, either error is correct
                     self.check("")?;
                     return Err(error("taken statement"));
                 }
