--- a/components/pg/tests/scan.rs
+++ b/components/pg/tests/scan.rs
@@ -1,7 +1,7 @@
-//! What texts of SQL ask for.
+//! Tests of the classification of SQL text.
 
 use pg::Scan;
-use pg::scan::{Feature, Statement, Verb, beginning};
+use pg::scan::{Feature, Statement, Verb, strip_leading_comments};
 use pg::setting::Local;
 
 fn local(text: &str) -> Option<Local> {
@@ -12,7 +12,7 @@
 }
 
 fn refused(text: &str) -> Option<Feature> {
-    Scan::new(text).refused(false)
+    Scan::new(text).refusal(false)
 }
 
 #[test]
@@ -32,11 +32,11 @@
     assert_eq!(tag("/*db='x',kind='seat%2Dmap'*/ select 1"), Some("seat-map".to_owned()));
     assert_eq!(tag("select '/*kind=''seat-map''*/'"), None);
     assert_eq!(tag("select 1 /*kind='%zz'*/"), None);
-    assert_eq!(beginning(" /* a */ -- b\n select 1"), "select 1");
+    assert_eq!(strip_leading_comments(" /* a */ -- b\n select 1"), "select 1");
 }
 
 #[test]
-fn can_tell_what_commits() {
+fn can_find_statements_that_commit() {
     for text in ["commit", "END", "call pay()", "do $$ begin end $$", "update t set x = 1; commit"]
     {
         assert!(Scan::new(text).commits(), "{text}");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn refuses_what_a_shared_connection_cannot_carry() {
+fn refuses_unsupported_features() {
     let cases = [
         ("LISTEN x", Feature::Listen),
         ("unlisten *", Feature::Listen),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn carries_what_ends_with_the_transaction() {
+fn accepts_effects_that_end_with_the_transaction() {
     for text in [
         "set local lock_timeout = 5",
         "set transaction isolation level serializable",
@@ -99,11 +99,11 @@
     ] {
         assert_eq!(refused(text), None, "{text}");
     }
-    assert_eq!(Scan::new("select lastval()").refused(true), None);
+    assert_eq!(Scan::new("select lastval()").refusal(true), None);
 }
 
 #[test]
-fn answers_settings_that_hold() {
+fn answers_settings_with_their_fixed_value() {
     for text in [
         "SET extra_float_digits = 3",
         "set client_encoding to 'UTF8'",
