--- a/programs/trefoil-entry/src/cmd/user.rs
+++ b/programs/trefoil-entry/src/cmd/user.rs
@@ -6,7 +6,7 @@
 use pg::scram::{SALT_BYTES, Verifier};
 
 /// Reads a password from standard input and prints `NAME:VERIFIER`.
-pub fn user(name: &str) -> ExitCode {
+pub fn run(name: &str) -> ExitCode {
     let mut line = String::new();
     if std::io::stdin().lock().read_line(&mut line).is_err() {
         return ExitCode::FAILURE;
--- a/programs/trefoil-entry/src/main.rs
+++ b/programs/trefoil-entry/src/main.rs
@@ -8,7 +8,7 @@
 fn main() -> ExitCode {
     match cli::parse() {
         Ok(cli::Command::Run(settings)) => cmd::run::run(*settings),
-        Ok(cli::Command::User(name)) => cmd::user::user(&name),
+        Ok(cli::Command::User(name)) => cmd::user::run(&name),
         Err(failure) => telemetry::cli::show(&failure),
     }
 }
--- a/programs/trefoil-slope/src/cmd/beat.rs
+++ b/programs/trefoil-slope/src/cmd/beat.rs
@@ -38,7 +38,7 @@
             std::hint::black_box(confirm.encode_to_vec());
         }
     });
-    let state = size::state(Size { entries, ..Size::default() });
+    let state = size::build_state(Size { entries, ..Size::default() });
     let mut leader = Leader::new(Instant::ZERO);
     let names: Vec<Name> = state.entries.keys().cloned().collect();
     let mut out = Vec::new();
--- a/programs/trefoil-slope/src/cmd/change.rs
+++ b/programs/trefoil-slope/src/cmd/change.rs
@@ -34,8 +34,8 @@
 
 fn measure(entries: usize, services: usize) -> Row {
     let size = Size { entries, groups: services, services };
-    let state = size::state(size);
-    let body = size::reweigh("second", state.version, &state.declarations, 2);
+    let state = size::build_state(size);
+    let body = size::change_weight("second", state.version, &state.declarations, 2);
     let command = Command { body: Some(body) };
     let index = state.index + 1;
     let down = down::Body::Entries(Entries {
--- a/programs/trefoil-slope/src/cmd/lead.rs
+++ b/programs/trefoil-slope/src/cmd/lead.rs
@@ -55,7 +55,7 @@
 }
 
 fn measure(size: Size) -> Row {
-    let state = size::state(size);
+    let state = size::build_state(size);
     let names = state.entries.keys().cloned().collect();
     let leader = Leader::new(Instant::ZERO);
     let mut bench = Bench {
--- a/programs/trefoil-slope/src/cmd/memory.rs
+++ b/programs/trefoil-slope/src/cmd/memory.rs
@@ -42,7 +42,7 @@
 
 fn measure(part: &'static str, number: usize, size: Size) -> Result<Row, Report<Failure>> {
     // the first copy stays, so that the second one can't take its place
-    let first = size::state(size);
+    let first = size::build_state(size);
     let bytes = first.encode();
     let before = resident()?;
     let state = State::decode(&bytes).change_context(Failure::Image)?;
--- a/programs/trefoil-slope/src/cmd/restart.rs
+++ b/programs/trefoil-slope/src/cmd/restart.rs
@@ -48,7 +48,7 @@
 
 fn measure(changes: u64) -> Result<Row, Report<Failure>> {
     let folder = tempfile::tempdir().change_context(Failure::Folder)?;
-    let mut state = size::state(Size { entries: 9, groups: 3, services: 8 });
+    let mut state = size::build_state(Size { entries: 9, groups: 3, services: 8 });
     let disk = Folder::open(folder.path()).change_context(Failure::Folder)?;
     let (mut journal, _) = Journal::open(disk).change_context(Failure::Journal)?;
     let mut snapshot_bytes = 0;
@@ -59,7 +59,7 @@
     for number in 0..changes {
         let weight = 1 + (number % 100) as u32;
         let id = format!("change-{number}");
-        let body = size::reweigh(&id, state.version, &state.declarations, weight);
+        let body = size::change_weight(&id, state.version, &state.declarations, weight);
         let command = Command { body: Some(body) };
         let index = state.index + 1;
         state.apply(index, &command);
--- a/programs/trefoil-slope/src/size.rs
+++ b/programs/trefoil-slope/src/size.rs
@@ -20,13 +20,13 @@
 }
 
 /// Builds a state.
-pub(crate) fn state(size: Size) -> State {
+pub(crate) fn build_state(size: Size) -> State {
     let mut state = State::default();
     let mut put = |body| {
         let index = state.index + 1;
         state.apply(index, &Command { body: Some(body) });
     };
-    put(configure("first", 0, &declarations(size)));
+    put(configure("first", 0, &build_declarations(size)));
     for entry in 0..size.entries {
         put(join(entry));
     }
@@ -45,7 +45,7 @@
 }
 
 /// A change of the weight of one service.
-pub(crate) fn reweigh(change: &str, base: u64, from: &Declarations, weight: u32) -> Body {
+pub(crate) fn change_weight(change: &str, base: u64, from: &Declarations, weight: u32) -> Body {
     let mut to = from.clone();
     if let Some(service) = to.services.values_mut().next() {
         service.weight = weight;
@@ -85,7 +85,7 @@
 }
 
 /// Declarations with one selector a service.
-pub(crate) fn declarations(size: Size) -> Declarations {
+pub(crate) fn build_declarations(size: Size) -> Declarations {
     let name = |text: String| text.parse().expect("the name is valid");
     let mut declarations = Declarations::default();
     for group in 0..size.groups {
--- a/programs/trefoilctl/src/client.rs
+++ b/programs/trefoilctl/src/client.rs
@@ -124,29 +124,29 @@
     /// Makes a client; nothing is sent yet.
     ///
     /// # Errors
-    /// [`Failure::Unaddressed`] without a member.
+    /// [`Failure::NoAddress`] without a member.
     pub fn new(members: Vec<SocketAddr>) -> Result<Self, Report<Failure>> {
         if members.is_empty() {
-            return Err(Report::new(Failure::Unaddressed));
+            return Err(Report::new(Failure::NoAddress));
         }
         let built = reqwest::Client::builder().timeout(TIMEOUT).no_proxy().build();
-        Ok(Self { http: built.change_context(Failure::Answer)?, members })
+        Ok(Self { http: built.change_context(Failure::MalformedAnswer)?, members })
     }
 
     /// Changes the declarations. Asked again under the same id, members give
     /// the first answer, so a lost answer is asked for again.
-    pub async fn change(&self, change: &Change) -> Result<Accepted, Report<Failure>> {
+    pub async fn submit(&self, change: &Change) -> Result<Accepted, Report<Failure>> {
         self.post("/v1/changes", change).await
     }
 
     /// The declarations in force.
-    pub async fn config(&self) -> Result<Current, Report<Failure>> {
+    pub async fn fetch_config(&self) -> Result<Current, Report<Failure>> {
         self.ask(|http, base| http.get(format!("{base}/v1/config"))).await
     }
 
     /// What a member tells of the system: the leader, where it can be reached,
     /// since it alone sees roles, lag and when a failover was noticed.
-    pub async fn status(&self) -> Result<Overview, Report<Failure>> {
+    pub async fn fetch_status(&self) -> Result<Overview, Report<Failure>> {
         let told: Overview = self.ask(|http, base| http.get(format!("{base}/v1/status"))).await?;
         if told.leads {
             return Ok(told);
@@ -163,7 +163,7 @@
     }
 
     /// What an entry counted against objectives, if it tells in time.
-    pub async fn page(&self, web: &str) -> Option<burn::Page> {
+    pub async fn fetch_page(&self, web: &str) -> Option<burn::Page> {
         let request = self.http.get(format!("http://{web}/v1/burn"));
         match once(request.timeout(PAGE_TIMEOUT)).await {
             Trial::Done(page) => Some(page),
@@ -172,7 +172,11 @@
     }
 
     /// Posts a wish whose repetition changes nothing.
-    pub async fn wish(&self, path: &str, body: &impl Serialize) -> Result<(), Report<Failure>> {
+    pub async fn post_idempotent(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<(), Report<Failure>> {
         let _answer: serde_json::Value = self.post(path, body).await?;
         Ok(())
     }
@@ -217,7 +221,7 @@
     if status.is_success() {
         let empty = body.is_empty();
         let read = serde_json::from_slice(if empty { b"null" } else { &body });
-        return match read.change_context(Failure::Answer) {
+        return match read.change_context(Failure::MalformedAnswer) {
             Ok(answer) => Trial::Done(answer),
             Err(report) => Trial::Over(report),
         };
--- a/programs/trefoilctl/src/cmd.rs
+++ b/programs/trefoilctl/src/cmd.rs
@@ -22,13 +22,13 @@
     let client = || Client::new(admin.clone());
     match options.command {
         Command::Apply { files, wait, change, base } => {
-            apply::run(&client()?, &files, apply::Wish { wait, change, base }).await
+            apply::run(&client()?, &files, apply::Options { wait, change, base }).await
         }
         Command::Diff { files } => diff::run(&client()?, &files).await,
         Command::Get => get::run(&client()?).await,
         Command::Status { json, watch } => status::run(&client()?, json, watch).await,
         Command::Burn { json, check, html } => {
-            burn::run(&client()?, burn::Wish { json, check, html }).await
+            burn::run(&client()?, burn::Options { json, check, html }).await
         }
         Command::Members { change } => members::run(&client()?, change).await,
         Command::Drain { off, entry } => drain::run(&client()?, entry, !off).await,
--- a/programs/trefoilctl/src/cmd/apply.rs
+++ b/programs/trefoilctl/src/cmd/apply.rs
@@ -17,7 +17,7 @@
 
 /// How to apply.
 #[derive(Debug)]
-pub struct Wish {
+pub struct Options {
     /// Whether to wait for the entries.
     pub wait: bool,
     /// Id of the change.
@@ -27,38 +27,38 @@
 }
 
 /// Runs the command.
-pub async fn run(client: &Client, files: &Path, wish: Wish) -> Result<(), Report<Failure>> {
-    let declarations =
-        config::files::read(files).map_err(|problems| Report::new(Failure::Files(problems)))?;
+pub async fn run(client: &Client, files: &Path, options: Options) -> Result<(), Report<Failure>> {
+    let declarations = config::files::read(files)
+        .map_err(|problems| Report::new(Failure::Declarations(problems)))?;
     let content = declarations.canonical();
-    let current = match wish.base {
+    let current = match options.base {
         Some(_) => None,
-        None => Some(client.config().await?),
+        None => Some(client.fetch_config().await?),
     };
     let same = current.as_ref().is_some_and(|current| {
         Declarations::parse(&current.content).is_ok_and(|current| current == declarations)
     });
-    if same && wish.change.is_none() {
+    if same && options.change.is_none() {
         println!("nothing to change: these declarations are in force");
         return Ok(());
     }
-    let base = wish.base.or(current.map(|current| current.version)).unwrap_or_default();
-    let id = wish.change.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
+    let base = options.base.or(current.map(|current| current.version)).unwrap_or_default();
+    let id = options.change.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
     let change = Change { id, base, content };
-    let answer = client.change(&change).await;
+    let answer = client.submit(&change).await;
     let accepted = answer.inspect_err(|report| {
         if matches!(report.current_context(), Failure::Unreachable { .. }) {
             eprintln!("ask again with: --change {} --base {base}", change.id);
         }
     })?;
     println!("version {} is accepted", accepted.version);
-    if wish.wait { wait(client, accepted).await } else { Ok(()) }
+    if options.wait { wait(client, accepted).await } else { Ok(()) }
 }
 
 async fn wait(client: &Client, accepted: Accepted) -> Result<(), Report<Failure>> {
     let began = Instant::now();
     loop {
-        let overview = client.status().await?;
+        let overview = client.fetch_status().await?;
         let behind = |entry: &&control::overview::Entry| {
             entry.applied.is_none_or(|applied| applied < accepted.index)
         };
@@ -73,7 +73,7 @@
             return Ok(());
         }
         if began.elapsed() >= PATIENCE {
-            return Err(Report::new(Failure::Behind { entries }));
+            return Err(Report::new(Failure::NotApplied { entries }));
         }
         tokio::time::sleep(LOOK).await;
     }
--- a/programs/trefoilctl/src/cmd/burn.rs
+++ b/programs/trefoilctl/src/cmd/burn.rs
@@ -15,7 +15,7 @@
 
 /// How the report is wanted.
 #[derive(Debug)]
-pub struct Wish {
+pub struct Options {
     /// As JSON.
     pub json: bool,
     /// Whether an alarm is a failure.
@@ -25,47 +25,47 @@
 }
 
 /// Runs the command.
-pub async fn run(client: &Client, wish: Wish) -> Result<(), Report<Failure>> {
+pub async fn run(client: &Client, options: Options) -> Result<(), Report<Failure>> {
     let report = ask(client).await?;
-    if let Some(path) = wish.html {
-        let page = burn::html::render(&report).change_context(Failure::Answer)?;
-        std::fs::write(&path, page).change_context(Failure::Unwritten { path })?;
+    if let Some(path) = options.html {
+        let page = burn::html::render(&report).change_context(Failure::MalformedAnswer)?;
+        std::fs::write(&path, page).change_context(Failure::WriteFile { path })?;
     }
-    if wish.json {
-        println!("{}", serde_json::to_string(&report).change_context(Failure::Answer)?);
+    if options.json {
+        println!("{}", serde_json::to_string(&report).change_context(Failure::MalformedAnswer)?);
     } else {
         print!("{}", text::render(&report));
     }
     let alarm = report.alarm();
-    if wish.check && alarm > Alarm::None {
-        return Err(Report::new(Failure::Burning { alarm }));
+    if options.check && alarm > Alarm::None {
+        return Err(Report::new(Failure::Alarm { alarm }));
     }
     Ok(())
 }
 
 /// Asks all entries that live, at the same time.
 async fn ask(client: &Client) -> Result<burn::Report, Report<Failure>> {
-    let current = client.config().await?;
+    let current = client.fetch_config().await?;
     let declarations: Declarations =
-        serde_json::from_str(&current.content).change_context(Failure::Answer)?;
-    let entries = client.status().await?.entries;
+        serde_json::from_str(&current.content).change_context(Failure::MalformedAnswer)?;
+    let entries = client.fetch_status().await?.entries;
     let answers = join_all(entries.iter().map(|entry| page(client, entry))).await;
     let (mut pages, mut missing) = (Vec::new(), Vec::new());
     for (entry, page) in entries.iter().zip(answers) {
         match page {
             Some(page) => pages.push(page),
-            None => missing.push(Name::new(&entry.name).change_context(Failure::Answer)?),
+            None => missing.push(Name::new(&entry.name).change_context(Failure::MalformedAnswer)?),
         }
     }
     if pages.is_empty() {
         let entries = entries.into_iter().map(|entry| entry.name).collect();
-        return Err(Report::new(Failure::Uncounted { entries }));
+        return Err(Report::new(Failure::NoPages { entries }));
     }
     Ok(burn::Report::merge(&declarations, &pages, missing))
 }
 
 /// The page of an entry; what another process at its address says is not it.
 async fn page(client: &Client, entry: &Entry) -> Option<Page> {
-    let page = client.page(entry.web.as_deref()?).await?;
+    let page = client.fetch_page(entry.web.as_deref()?).await?;
     (page.entry.as_str() == entry.name).then_some(page)
 }
--- a/programs/trefoilctl/src/cmd/diff.rs
+++ b/programs/trefoilctl/src/cmd/diff.rs
@@ -10,16 +10,16 @@
 
 /// Runs the command.
 pub async fn run(client: &Client, files: &Path) -> Result<(), Report<Failure>> {
-    let wanted =
-        config::files::read(files).map_err(|problems| Report::new(Failure::Files(problems)))?;
-    let current = client.config().await?;
+    let wanted = config::files::read(files)
+        .map_err(|problems| Report::new(Failure::Declarations(problems)))?;
+    let current = client.fetch_config().await?;
     let content = current.content;
     let current = if content.is_empty() {
         Ok(Declarations::default())
     } else {
         Declarations::parse(&content)
     };
-    let current = current.map_err(|_faults| Report::new(Failure::Answer))?;
+    let current = current.map_err(|_faults| Report::new(Failure::MalformedAnswer))?;
     for change in config::diff(&current, &wanted) {
         println!("{change}");
     }
--- a/programs/trefoilctl/src/cmd/drain.rs
+++ b/programs/trefoilctl/src/cmd/drain.rs
@@ -8,7 +8,7 @@
 /// Runs the command.
 pub async fn run(client: &Client, entry: String, on: bool) -> Result<(), Report<Failure>> {
     let drain = Drain { entry, on };
-    client.wish("/v1/drain", &drain).await?;
+    client.post_idempotent("/v1/drain", &drain).await?;
     println!("{} is {}", drain.entry, if on { "being drained" } else { "in use" });
     Ok(())
 }
--- a/programs/trefoilctl/src/cmd/fault.rs
+++ b/programs/trefoilctl/src/cmd/fault.rs
@@ -8,7 +8,7 @@
 /// Runs the command.
 pub async fn run(client: &Client, group: String, fault: String) -> Result<(), Report<Failure>> {
     let fault = Fault { group, fault };
-    client.wish("/v1/fault", &fault).await?;
+    client.post_idempotent("/v1/fault", &fault).await?;
     println!("{}: {}", fault.group, fault.fault);
     Ok(())
 }
--- a/programs/trefoilctl/src/cmd/get.rs
+++ b/programs/trefoilctl/src/cmd/get.rs
@@ -7,9 +7,9 @@
 
 /// Runs the command.
 pub async fn run(client: &Client) -> Result<(), Report<Failure>> {
-    let current = client.config().await?;
+    let current = client.fetch_config().await?;
     let content: serde_json::Value =
-        serde_json::from_str(&current.content).change_context(Failure::Answer)?;
+        serde_json::from_str(&current.content).change_context(Failure::MalformedAnswer)?;
     eprintln!("version {}", current.version);
     println!("{content:#}");
     Ok(())
--- a/programs/trefoilctl/src/cmd/members.rs
+++ b/programs/trefoilctl/src/cmd/members.rs
@@ -11,13 +11,13 @@
 pub async fn run(client: &Client, change: Option<cli::Membership>) -> Result<(), Report<Failure>> {
     let change = match change {
         None => {
-            println!("{}", screen::members(&client.status().await?));
+            println!("{}", screen::render_members(&client.fetch_status().await?));
             return Ok(());
         }
         Some(cli::Membership::Add { link, web, name }) => Membership::Add { name, link, web },
         Some(cli::Membership::Remove { name }) => Membership::Remove { name },
     };
-    client.wish("/v1/members", &change).await?;
+    client.post_idempotent("/v1/members", &change).await?;
     println!("done");
     Ok(())
 }
--- a/programs/trefoilctl/src/cmd/path.rs
+++ b/programs/trefoilctl/src/cmd/path.rs
@@ -13,8 +13,8 @@
     for path in files {
         read(&mut logs, path)?;
     }
-    let path =
-        trace::Path::find(&logs, request).map_err(|lost| Report::new(Failure::Untold(lost)))?;
+    let path = trace::Path::find(&logs, request)
+        .map_err(|lost| Report::new(Failure::RequestNotFound(lost)))?;
     print!("{}", path.text());
     if logs.unread > 0 {
         eprintln!("{} lines are no JSON lines of a log and were passed over", logs.unread);
@@ -24,7 +24,7 @@
 
 fn read(logs: &mut Logs, path: &Path) -> Result<(), Report<Failure>> {
     let bytes = std::fs::read(path);
-    let bytes = bytes.change_context_lazy(|| Failure::Unread { path: path.to_owned() })?;
+    let bytes = bytes.change_context_lazy(|| Failure::ReadFile { path: path.to_owned() })?;
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     logs.read(&name, &String::from_utf8_lossy(&bytes));
     Ok(())
--- a/programs/trefoilctl/src/cmd/status.rs
+++ b/programs/trefoilctl/src/cmd/status.rs
@@ -17,12 +17,12 @@
 /// Runs the command.
 pub async fn run(client: &Client, json: bool, watch: bool) -> Result<(), Report<Failure>> {
     loop {
-        let overview = client.status().await;
+        let overview = client.fetch_status().await;
         let text = match &overview {
             Ok(overview) if json => {
-                serde_json::to_string(overview).change_context(Failure::Answer)?
+                serde_json::to_string(overview).change_context(Failure::MalformedAnswer)?
             }
-            Ok(overview) => screen::draw(overview),
+            Ok(overview) => screen::render_overview(overview),
             Err(report) if watch => report.current_context().to_string(),
             Err(_) => String::new(),
         };
--- a/programs/trefoilctl/src/failure.rs
+++ b/programs/trefoilctl/src/failure.rs
@@ -10,16 +10,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
     /// The declarations are wrong; nothing was changed.
-    Files(Problems),
+    Declarations(Problems),
     /// No member's address was given.
-    Unaddressed,
+    NoAddress,
     /// A log file could not be read.
-    Unread {
+    ReadFile {
         /// The file.
         path: PathBuf,
     },
     /// The logs tell nothing of a request.
-    Untold(trace::path::Lost),
+    RequestNotFound(trace::path::Lost),
     /// No member answered.
     Unreachable {
         /// Addresses that were tried.
@@ -36,24 +36,24 @@
         text: String,
     },
     /// The answer could not be read.
-    Answer,
+    MalformedAnswer,
     /// No entry gave what it counted.
-    Uncounted {
+    NoPages {
         /// Names of those that live.
         entries: Vec<String>,
     },
     /// The report could not be written.
-    Unwritten {
+    WriteFile {
         /// The file.
         path: PathBuf,
     },
     /// An error budget burns too fast.
-    Burning {
+    Alarm {
         /// How urgent it is.
         alarm: Alarm,
     },
     /// Entries have not applied a change in time.
-    Behind {
+    NotApplied {
         /// Their names.
         entries: Vec<String>,
     },
@@ -65,10 +65,10 @@
 
 impl Failure {
     /// Exit code of the process.
-    pub const fn code(&self) -> u8 {
+    pub const fn exit_code(&self) -> u8 {
         match self {
-            Self::Burning { .. } => BURNING,
-            Self::Unaddressed => MISUSED,
+            Self::Alarm { .. } => BURNING,
+            Self::NoAddress => MISUSED,
             _ => FAILED,
         }
     }
@@ -77,10 +77,10 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Files(problems) => write!(f, "nothing was changed:\n{problems}"),
-            Self::Unaddressed => f.write_str("give --admin or set TREFOIL_ADMIN"),
-            Self::Unread { path } => write!(f, "could not read {}", path.display()),
-            Self::Untold(lost) => write!(f, "{lost}"),
+            Self::Declarations(problems) => write!(f, "nothing was changed:\n{problems}"),
+            Self::NoAddress => f.write_str("give --admin or set TREFOIL_ADMIN"),
+            Self::ReadFile { path } => write!(f, "could not read {}", path.display()),
+            Self::RequestNotFound(lost) => write!(f, "{lost}"),
             Self::Unreachable { tried } => {
                 write!(f, "none of {tried} control members could serve; the outcome may be unknown")
             }
@@ -89,14 +89,14 @@
                 "conflict: the current version is {version}; see `trefoilctl diff` and apply again"
             ),
             Self::Refused { text } => write!(f, "refused: {text}"),
-            Self::Answer => f.write_str("the member's answer could not be read"),
-            Self::Uncounted { entries } if entries.is_empty() => f.write_str("no entry lives"),
-            Self::Uncounted { entries } => {
+            Self::MalformedAnswer => f.write_str("the member's answer could not be read"),
+            Self::NoPages { entries } if entries.is_empty() => f.write_str("no entry lives"),
+            Self::NoPages { entries } => {
                 write!(f, "no entry gave a page: {}", entries.join(", "))
             }
-            Self::Unwritten { path } => write!(f, "could not write {}", path.display()),
-            Self::Burning { alarm } => write!(f, "a {alarm} alarm stands"),
-            Self::Behind { entries } => {
+            Self::WriteFile { path } => write!(f, "could not write {}", path.display()),
+            Self::Alarm { alarm } => write!(f, "a {alarm} alarm stands"),
+            Self::NotApplied { entries } => {
                 write!(f, "not yet in force at: {}", entries.join(", "))
             }
         }
--- a/programs/trefoilctl/src/main.rs
+++ b/programs/trefoilctl/src/main.rs
@@ -26,7 +26,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("trefoilctl: {}", report.current_context());
-            ExitCode::from(report.current_context().code())
+            ExitCode::from(report.current_context().exit_code())
         }
     }
 }
--- a/programs/trefoilctl/src/screen.rs
+++ b/programs/trefoilctl/src/screen.rs
@@ -18,7 +18,7 @@
 }
 
 /// Everything.
-pub fn draw(overview: &Overview) -> String {
+pub fn render_overview(overview: &Overview) -> String {
     let head = format!(
         "version {}, index {}, term {}, leader {}",
         overview.version,
@@ -29,7 +29,7 @@
     let hint = if overview.leads { "" } else { " (told by a follower: no roles and lag)" };
     let parts = [
         head + hint,
-        members(overview).to_string(),
+        render_members(overview).to_string(),
         groups(overview).to_string(),
         servers(overview).to_string(),
         entries(overview).to_string(),
@@ -39,7 +39,7 @@
 }
 
 /// Members of control.
-pub fn members(overview: &Overview) -> Table {
+pub fn render_members(overview: &Overview) -> Table {
     let mut table = table(&["member", "leads", "votes", "link", "web"]);
     for member in &overview.members {
         let leads = overview.leader.as_ref() == Some(&member.name);
