--- a/programs/trefoil-control/src/cli.rs
+++ b/programs/trefoil-control/src/cli.rs
@@ -1,4 +1,4 @@
-//! Settings: each is a flag and an environment variable.
+//! Command-line arguments. Each setting has a flag and an environment variable.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -55,27 +55,27 @@
     format: Format,
 }
 
-/// Why the program ended without success.
+/// Error that ends the program.
 #[derive(Debug, Clone, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "title_case")]
 pub(crate) enum Failure {
-    /// The settings are not allowed.
-    #[strum(to_string = "the settings are not allowed")]
+    /// A setting is invalid.
+    #[strum(to_string = "invalid settings")]
     Settings,
-    /// The member could not start.
-    #[strum(to_string = "the member could not start")]
+    /// The member, its runtime or its signal handlers could not start.
+    #[strum(to_string = "could not start the member")]
     Start,
-    /// The member ended by itself.
-    #[strum(to_string = "the member ended by itself; its log says why")]
+    /// The member ended without a signal.
+    #[strum(to_string = "the member ended without a signal; see its log for the reason")]
     Ended,
-    /// The data folder could not be read.
-    #[strum(to_string = "the data folder could not be read")]
+    /// The data folder could not be read, or its contents not printed.
+    #[strum(to_string = "could not read the data folder")]
     Data,
 }
 
 impl std::error::Error for Failure {}
 
-/// The settings, checked.
+/// Validated settings of a member.
 #[derive(Debug)]
 pub(crate) struct Settings {
     pub(crate) name: Name,
@@ -93,18 +93,20 @@
 }
 
 impl Options {
-    /// Checks all settings.
+    /// Validates all settings.
     ///
     /// # Errors
-    /// [`Failure::Settings`] with the first [`Invalid`] one below it.
+    /// [`Failure::Settings`], caused by the [`Invalid`] of the first invalid
+    /// setting.
     pub(crate) fn check(self) -> Result<Settings, Report<Failure>> {
-        self.checked().map_err(|invalid| Report::new(invalid).change_context(Failure::Settings))
+        self.into_settings()
+            .map_err(|invalid| Report::new(invalid).change_context(Failure::Settings))
     }
 
-    fn checked(self) -> Result<Settings, Invalid> {
-        const ADDRESS: &str = "an IP number and port, as 10.0.0.1:7000";
+    fn into_settings(self) -> Result<Settings, Invalid> {
+        const ADDRESS_FORMAT: &str = "an IP number and port, as 10.0.0.1:7000";
         let name = cli::read("--name", &self.name, "1 to 128 of letters, digits and -_./:")?;
-        let peers = peers(&self.peers)?;
+        let peers = parse_peers(&self.peers)?;
         if self.data.is_empty() {
             return Err(Invalid::new("--data", &self.data, "the path of a folder"));
         }
@@ -116,8 +118,8 @@
             key.map_err(|_short| Invalid::new("--key", "..", "a key of at least 16 bytes"))?;
         Ok(Settings {
             data: PathBuf::from(&self.data),
-            link: cli::read("--link", &self.link, ADDRESS)?,
-            web: cli::read("--web", &self.web, ADDRESS)?,
+            link: cli::read("--link", &self.link, ADDRESS_FORMAT)?,
+            web: cli::read("--web", &self.web, ADDRESS_FORMAT)?,
             name,
             key,
             peers,
@@ -127,13 +129,13 @@
     }
 }
 
-fn peers(list: &str) -> Result<Vec<Peer>, Invalid> {
+fn parse_peers(list: &str) -> Result<Vec<Peer>, Invalid> {
     let invalid = || {
         Invalid::new("--peers", list, "a list of NAME=LINK/WEB with commas between, each name once")
     };
     let mut peers: Vec<Peer> = Vec::new();
     for part in list.split(',') {
-        let peer = peer(part.trim()).ok_or_else(invalid)?;
+        let peer = parse_peer(part.trim()).ok_or_else(invalid)?;
         if peers.iter().any(|known| known.name == peer.name) {
             return Err(invalid());
         }
@@ -142,7 +144,7 @@
     Ok(peers)
 }
 
-fn peer(part: &str) -> Option<Peer> {
+fn parse_peer(part: &str) -> Option<Peer> {
     let (name, addresses) = part.split_once('=')?;
     let (link, web) = addresses.split_once('/')?;
     Some(Peer { name: name.parse().ok()?, link: link.parse().ok()?, web: web.parse().ok()? })
--- a/programs/trefoil-control/src/cmd/inspect.rs
+++ b/programs/trefoil-control/src/cmd/inspect.rs
@@ -1,4 +1,4 @@
-//! Shows what a data folder holds.
+//! `inspect`: shows the contents of a data folder.
 
 use base::prelude::*;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use crate::cli::{Failure, Inspect};
 
 #[derive(Debug, Serialize)]
-struct Shown {
+struct Contents {
     term: u64,
     vote: String,
     snapshot: Snapshot,
@@ -38,7 +38,7 @@
         term: entry.term,
         bytes: entry.encoded_len(),
     };
-    let shown = Shown {
+    let contents = Contents {
         term: hard.term,
         vote: format!("{:016x}", hard.vote),
         snapshot: Snapshot {
@@ -49,7 +49,7 @@
         members: snapshot.members.members.iter().map(|member| member.name.clone()).collect(),
         entries: stored.entries.iter().map(entry).collect(),
     };
-    let text = serde_json::to_string_pretty(&shown).change_context(Failure::Data)?;
+    let text = serde_json::to_string_pretty(&contents).change_context(Failure::Data)?;
     println!("{text}");
     Ok(())
 }
--- a/programs/trefoil-control/src/cmd/mod.rs
+++ b/programs/trefoil-control/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The program's commands.
+//! Commands of the program.
 
 mod inspect;
 mod run;
--- a/programs/trefoil-control/src/cmd/run.rs
+++ b/programs/trefoil-control/src/cmd/run.rs
@@ -1,4 +1,4 @@
-//! Runs a member until it is told to stop.
+//! `run`: runs the control member until SIGTERM or SIGINT.
 
 use base::clock::Clock;
 use base::prelude::*;
@@ -7,7 +7,7 @@
 
 use crate::cli::{Failure, Settings};
 
-/// Runs the member; SIGTERM and SIGINT are a planned stop.
+/// Runs the member. SIGTERM and SIGINT stop the member gracefully.
 pub(crate) fn run(settings: Settings) -> Result<(), Report<Failure>> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     runtime.change_context(Failure::Start)?.block_on(serve(settings))
@@ -36,11 +36,11 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
         () = member.ended() => {
-            error!(log, "the member ended by itself");
+            error!(log, "the control member ended without a signal");
             return Err(Report::new(Failure::Ended));
         }
     }
-    info!(log, "stops as planned");
+    info!(log, "stopping after a signal");
     member.stop().await;
     Ok(())
 }
--- a/programs/trefoil-control/src/main.rs
+++ b/programs/trefoil-control/src/main.rs
@@ -1,4 +1,4 @@
-//! A member of the control quorum.
+//! Program of a control member.
 
 mod cli;
 mod cmd;
@@ -13,16 +13,16 @@
         Ok(command) => command,
         Err(failure) => return show(&failure),
     };
-    let done = match command {
+    let result = match command {
         Command::Run(options) => options.check().and_then(cmd::run),
         Command::Inspect(options) => cmd::inspect(&options),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("trefoil-control: {report:#}");
-            let usage = report.contains::<Invalid>();
-            if usage { ExitCode::from(USAGE) } else { ExitCode::FAILURE }
+            let is_misuse = report.contains::<Invalid>();
+            if is_misuse { ExitCode::from(USAGE) } else { ExitCode::FAILURE }
         }
     }
 }
--- a/programs/trefoil-control/tests/settings.rs
+++ b/programs/trefoil-control/tests/settings.rs
@@ -1,9 +1,9 @@
-//! What the program makes of its settings and signals.
+//! Settings, signals and data folder of the program.
 
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
-const GOOD: [(&str, &str); 6] = [
+const VALID_SETTINGS: [(&str, &str); 6] = [
     ("--name", "a"),
     ("--data", "data"),
     ("--link", "127.0.0.1:0"),
@@ -17,16 +17,17 @@
 }
 
 fn run_with(flag: &str, value: &str) -> Output {
-    let settings = GOOD.map(|(known, good)| (known, if known == flag { value } else { good }));
+    let settings =
+        VALID_SETTINGS.map(|(known, valid)| (known, if known == flag { value } else { valid }));
     let mut command = program();
     command.arg("run");
     for (flag, value) in settings {
         command.args([flag, value]);
     }
-    if GOOD.iter().all(|(known, _)| *known != flag) {
+    if VALID_SETTINGS.iter().all(|(known, _)| *known != flag) {
         command.args([flag, value]);
     }
-    command.output().expect("it runs")
+    command.output().expect("the program starts")
 }
 
 #[test]
@@ -60,7 +61,7 @@
 #[test]
 fn shows_help_and_version() {
     for flag in ["--help", "--version"] {
-        let output = program().arg(flag).output().expect("it runs");
+        let output = program().arg(flag).output().expect("the program starts");
         assert_eq!(output.status.code(), Some(0), "{flag}");
         assert!(!output.stdout.is_empty(), "{flag}");
     }
@@ -68,22 +69,22 @@
 
 #[test]
 fn ends_well_at_sigterm() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let mut command = program();
     command.arg("run");
-    for (flag, value) in GOOD.iter().filter(|(flag, _)| *flag != "--data") {
+    for (flag, value) in VALID_SETTINGS.iter().filter(|(flag, _)| *flag != "--data") {
         command.args([flag, value]);
     }
     command.arg("--data").arg(folder.path().join("data")).stderr(Stdio::null());
-    let mut child = command.spawn().expect("it runs");
+    let mut child = command.spawn().expect("the program starts");
     while !folder.path().join("data").join("identity").exists() {
         std::thread::sleep(Duration::from_millis(10));
     }
-    // the handlers stand before the folder is made
-    let killed = Command::new("kill").arg(child.id().to_string()).status().expect("kill runs");
+    // The signal handlers are installed before the folder is created.
+    let killed = Command::new("kill").arg(child.id().to_string()).status().expect("kill starts");
     assert!(killed.success());
-    assert_eq!(child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(child.wait().expect("the program ends").code(), Some(0));
     let inspected = program().arg("inspect").arg("--data").arg(folder.path().join("data")).output();
-    let shown = inspected.expect("it runs").stdout;
+    let shown = inspected.expect("the program starts").stdout;
     assert!(String::from_utf8_lossy(&shown).contains("\"term\""));
 }
--- a/programs/trefoil-entry/src/cli.rs
+++ b/programs/trefoil-entry/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,12 +10,12 @@
 use telemetry::cli::{self, Invalid};
 use telemetry::log::{Format, Level};
 
-/// What is asked for.
+/// Command to run.
 #[derive(Debug)]
 pub enum Command {
-    /// Run an entry.
+    /// Runs an entry.
     Run(Box<Run>),
-    /// Print a line for the file of users.
+    /// Prints a line for the file of users, for the service of this name.
     User(String),
 }
 
@@ -24,37 +24,38 @@
 pub struct Run {
     /// Name of the entry.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the entry's host.
     pub zone: Name,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where other entries connect.
+    /// Address that other entries connect to.
     pub link: SocketAddr,
-    /// Where health and metrics are served.
+    /// Address of the HTTP server for health and metrics.
     pub web: SocketAddr,
-    /// Links of the control members.
+    /// Link addresses of the control members.
     pub controls: Vec<SocketAddr>,
-    /// The key that the system's processes share.
+    /// Key shared by the processes of the system, or the reason why the key is
+    /// invalid.
     pub key: Result<Key, Invalid>,
-    /// File of users.
+    /// File of users; without this file every login is trusted.
     pub users: Option<PathBuf>,
-    /// Files of certificate and key.
+    /// Paths of the TLS certificate for callers and of its private key.
     pub tls: Option<(PathBuf, PathBuf)>,
-    /// How it is stopped.
+    /// Time limits of a graceful stop.
     pub stop: entry::Stop,
-    /// Least severity that is logged.
+    /// Minimum severity of logged messages.
     pub level: Level,
-    /// Form of the log.
+    /// Output format of the log.
     pub format: Format,
 }
 
-const ADDRESS: &str = "an IP number and port, as 10.0.0.1:5432";
-const NAME: &str = "1 to 128 letters, digits, `-`, `_`, `.`, `/` or `:`";
+const ADDRESS_FORMAT: &str = "an IP number and port, as 10.0.0.1:5432";
+const NAME_FORMAT: &str = "1 to 128 letters, digits, `-`, `_`, `.`, `/` or `:`";
 
-/// Reads the command line and the environment.
+/// Parses the command line and the environment variables.
 ///
 /// # Errors
-/// A help text, or what is wrong.
+/// The help or version text, or the first invalid argument.
 pub fn parse() -> Result<Command, ParseFailure> {
     options().run_inner(Args::current_args())
 }
@@ -100,24 +101,25 @@
 
 fn name(flag: &'static str, env: &'static str, help: &'static str) -> impl Parser<Name> {
     let text = long(flag).env(env).help(help).argument::<String>("NAME");
-    text.parse(move |text| cli::read(&format!("--{flag}"), &text, NAME))
+    text.parse(move |text| cli::read(&format!("--{flag}"), &text, NAME_FORMAT))
 }
 
 fn address(flag: &'static str, env: &'static str, help: &'static str) -> impl Parser<SocketAddr> {
     let text = long(flag).env(env).help(help).argument::<String>("IP:PORT");
-    text.parse(move |text| cli::read(&format!("--{flag}"), &text, ADDRESS))
+    text.parse(move |text| cli::read(&format!("--{flag}"), &text, ADDRESS_FORMAT))
 }
 
 fn controls() -> impl Parser<Vec<SocketAddr>> {
     let help = "links of the control members, separated by commas";
     let text = long("controls").env("TREFOIL_CONTROLS").help(help).argument::<String>("IP:PORT,..");
     text.parse(|text| {
-        let one = |part: &str| cli::read("--controls", part.trim(), ADDRESS);
-        text.split(',').map(one).collect::<Result<_, Invalid>>()
+        let address = |part: &str| cli::read("--controls", part.trim(), ADDRESS_FORMAT);
+        text.split(',').map(address).collect::<Result<_, Invalid>>()
     })
 }
 
-/// The key. It is checked later, since the parser would print a wrong one.
+/// Parser of the key. The key is kept as a `Result` and its error reported
+/// later, because bpaf would print an invalid key in its error message.
 fn key() -> impl Parser<Result<Key, Invalid>> {
     let help = "key that the system's processes share, at least 16 bytes";
     let text = long("key").env("TREFOIL_KEY").help(help).argument::<String>("KEY").hide_usage();
--- a/programs/trefoil-entry/src/cmd/mod.rs
+++ b/programs/trefoil-entry/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Commands of the program.
 
 pub mod run;
 pub mod user;
--- a/programs/trefoil-entry/src/cmd/run.rs
+++ b/programs/trefoil-entry/src/cmd/run.rs
@@ -1,4 +1,4 @@
-//! Runs an entry until it is told to stop.
+//! `run`: runs an entry until SIGTERM or SIGINT.
 
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -12,7 +12,7 @@
 
 use crate::cli::Run;
 
-/// Runs an entry. SIGTERM and SIGINT stop it as planned.
+/// Runs an entry. SIGTERM and SIGINT stop the entry gracefully.
 pub fn run(run: Run) -> ExitCode {
     let key = match run.key.clone() {
         Ok(key) => key,
@@ -25,7 +25,7 @@
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            error!(log, "could not start"; "error" => %error);
+            error!(log, "could not start the Tokio runtime"; "error" => %error);
             return ExitCode::FAILURE;
         }
     };
@@ -39,7 +39,7 @@
     let (terminate, interrupt) = match signals {
         Ok(signals) => signals,
         Err(error) => {
-            error!(log, "could not listen for signals"; "error" => %error);
+            error!(log, "could not install the signal handlers"; "error" => %error);
             return ExitCode::FAILURE;
         }
     };
@@ -47,7 +47,7 @@
     let bound = match entry::bind(settings(run, key, log.clone())).await {
         Ok(bound) => bound,
         Err(report) => {
-            error!(log, "could not start"; "error" => #%report);
+            error!(log, "could not start the entry"; "error" => #%report);
             return ExitCode::FAILURE;
         }
     };
@@ -55,12 +55,12 @@
     let handle = bound.start();
     info!(log, "started"; "callers" => %addresses.callers, "link" => %addresses.link,
         "web" => %addresses.web);
-    told(terminate, interrupt).await;
+    wait_for_signal(terminate, interrupt).await;
     handle.stop_with(stop).await;
     ExitCode::SUCCESS
 }
 
-async fn told(mut terminate: Signal, mut interrupt: Signal) {
+async fn wait_for_signal(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -68,11 +68,11 @@
 }
 
 fn settings(run: Run, key: Key, log: slog::Logger) -> entry::Settings {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     entry::Settings {
         name: run.name,
         zone: run.zone,
-        incarnation: u64::try_from(since.as_millis()).unwrap_or(u64::MAX),
+        incarnation: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
         callers: run.callers,
         link: run.link,
         web: run.web,
--- a/programs/trefoil-entry/src/cmd/user.rs
+++ b/programs/trefoil-entry/src/cmd/user.rs
@@ -1,4 +1,4 @@
-//! Prints a line for the file of users.
+//! `user`: prints a line for the file of users.
 
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
--- a/programs/trefoil-entry/src/main.rs
+++ b/programs/trefoil-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point.
+//! Program of an entry, the proxy that callers connect to.
 
 mod cli;
 mod cmd;
--- a/programs/trefoil-entry/tests/settings.rs
+++ b/programs/trefoil-entry/tests/settings.rs
@@ -1,8 +1,8 @@
-//! What the program makes of its settings.
+//! Validation of the program's settings.
 
 use std::process::{Command, Output};
 
-const GOOD: [(&str, &str); 7] = [
+const VALID_SETTINGS: [(&str, &str); 7] = [
     ("--name", "e1"),
     ("--zone", "lansing"),
     ("--callers", "127.0.0.1:0"),
@@ -15,10 +15,10 @@
 fn run_with(flag: &str, value: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_trefoil-entry"));
     command.arg("run");
-    for (known, good) in GOOD {
-        command.args([known, if known == flag { value } else { good }]);
+    for (known, valid) in VALID_SETTINGS {
+        command.args([known, if known == flag { value } else { valid }]);
     }
-    command.output().expect("it runs")
+    command.output().expect("the program starts")
 }
 
 #[test]
@@ -34,9 +34,9 @@
     ];
     for (flag, value) in wrong {
         let output = run_with(flag, value);
-        let told = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{flag} {value}");
-        assert!(told.contains(flag.trim_start_matches('-')), "{flag} {value}: {told}");
-        assert!(flag != "--key" || !told.contains(value), "the key is shown: {told}");
+        assert!(stderr.contains(flag.trim_start_matches('-')), "{flag} {value}: {stderr}");
+        assert!(flag != "--key" || !stderr.contains(value), "the key is shown: {stderr}");
     }
 }
--- a/programs/trefoil-load/src/cli.rs
+++ b/programs/trefoil-load/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use bpaf::{OptionParser, Parser, construct, long};
 use load::{Baseline, Fault, Scenario};
@@ -8,31 +8,31 @@
 /// Arguments of the program.
 #[derive(Clone, Debug)]
 pub struct Arguments {
-    /// The workload.
+    /// Workload of the callers.
     pub scenario: Scenario,
-    /// The fault.
+    /// Fault that is injected repeatedly during the run.
     pub fault: Fault,
-    /// The baseline.
+    /// Restricted mode of the proxy that serves as baseline.
     pub baseline: Baseline,
-    /// Whether callers reach primaries without the proxy.
+    /// Whether callers connect to the primaries directly, without the proxy.
     pub direct: bool,
-    /// Length of the traffic in seconds.
+    /// Duration of the traffic in seconds.
     pub seconds: u64,
     /// Number of sessions.
     pub callers: usize,
     /// Mean time between an answer and the next request, in milliseconds.
     pub think_ms: u64,
-    /// Seed of the callers.
+    /// Seed of the callers' random numbers.
     pub seed: u64,
-    /// Whether the result is written as JSON.
+    /// Whether the result is printed as JSON on a single line.
     pub json: bool,
-    /// Least severity that is logged.
+    /// Minimum severity of logged messages.
     pub level: Level,
-    /// Form of the log.
+    /// Output format of the log.
     pub format: Format,
 }
 
-/// The parser of the arguments.
+/// Returns the parser of the command line.
 pub fn arguments() -> OptionParser<Arguments> {
     let scenario = long("scenario")
         .help("workload: lakeshore or egbolt")
--- a/programs/trefoil-load/src/cmd.rs
+++ b/programs/trefoil-load/src/cmd.rs
@@ -1,3 +1,3 @@
-//! What the program does.
+//! Commands of the program.
 
 pub mod run;
--- a/programs/trefoil-load/src/cmd/run.rs
+++ b/programs/trefoil-load/src/cmd/run.rs
@@ -1,4 +1,5 @@
-//! One run: the direct latencies first, then the bench itself.
+//! Runs the load test: first a short run without the proxy, which measures the
+//! direct latencies, then the run itself.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,52 +15,53 @@
 
 use crate::cli::Arguments;
 
-const DIRECT_LENGTH: Duration = Duration::from_secs(5);
+const DIRECT_DURATION: Duration = Duration::from_secs(5);
 const DIRECT_CALLERS: usize = 6;
-const DIRECT_THINK: Duration = Duration::from_millis(20);
+const DIRECT_THINK_TIME: Duration = Duration::from_millis(20);
 
-const STEPS: u64 = 1_000;
-const TEMPLATE: &str = "{msg:10} [{bar:40}] {elapsed}";
+const PROGRESS_STEPS: u64 = 1_000;
+const PROGRESS_TEMPLATE: &str = "{msg:10} [{bar:40}] {elapsed}";
 
-const BROKEN: u8 = 1;
-const FAILED: u8 = 3;
+const EXIT_VIOLATED: u8 = 1;
+const EXIT_FAILED: u8 = 3;
 
-/// Why the program failed.
+/// Error of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The runtime could not be set up.
+    /// The Tokio runtime could not be started.
     Runtime,
-    /// The bench failed.
+    /// The test bench could not be started or its run failed.
     Bench,
-    /// Standard output could not be written.
+    /// The result could not be written to standard output.
     Output,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Runtime => "the runtime could not be set up",
-            Self::Bench => "the bench failed",
-            Self::Output => "standard output could not be written",
+            Self::Runtime => "could not start the Tokio runtime",
+            Self::Bench => "the test bench failed",
+            Self::Output => "could not write to standard output",
         })
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// Runs the load; the exit code tells of a broken promise.
+/// Runs the load test. The exit code is 1 when a guarantee was violated and 3
+/// when the test failed to run.
 pub fn run(arguments: &Arguments) -> ExitCode {
     let log = telemetry::logger("trefoil-load", arguments.level, arguments.format);
     let verdict = tokio::runtime::Runtime::new()
         .change_context(Failure::Runtime)
         .and_then(|runtime| runtime.block_on(measure(arguments, &log)))
-        .and_then(|verdict| print(&verdict, arguments.json).map(|()| verdict));
+        .and_then(|verdict| print_verdict(&verdict, arguments.json).map(|()| verdict));
     match verdict {
-        Ok(verdict) if verdict.is_broken() => ExitCode::from(BROKEN),
+        Ok(verdict) if verdict.is_broken() => ExitCode::from(EXIT_VIOLATED),
         Ok(_) => ExitCode::SUCCESS,
         Err(report) => {
-            error!(log, "failed"; "error" => ?report);
-            ExitCode::from(FAILED)
+            error!(log, "the load test failed"; "error" => ?report);
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
@@ -77,22 +79,22 @@
 }
 
 async fn measure(arguments: &Arguments, log: &Logger) -> Result<Verdict, Report<Failure>> {
-    let direct = direct_latencies(arguments, log).await?;
+    let direct = measure_direct_latencies(arguments, log).await?;
     let (scenario, seed) = (arguments.scenario, arguments.seed);
     let settings = settings(arguments);
     let verdict = if arguments.direct {
         let bench = Direct::start(scenario, seed, log).await.change_context(Failure::Bench)?;
-        watched(bench, &settings).await
+        run_with_progress(bench, &settings).await
     } else {
         let bench = Whole::start(scenario, seed, log).await.change_context(Failure::Bench)?;
-        watched(bench, &settings).await
+        run_with_progress(bench, &settings).await
     };
     let mut verdict = verdict?;
     verdict.direct_latency_ms = direct;
     Ok(verdict)
 }
 
-async fn direct_latencies(
+async fn measure_direct_latencies(
     arguments: &Arguments,
     log: &Logger,
 ) -> Result<BTreeMap<String, Spread>, Report<Failure>> {
@@ -102,9 +104,9 @@
     let settings = Settings {
         fault: Fault::None,
         baseline: Baseline::None,
-        length: DIRECT_LENGTH,
+        length: DIRECT_DURATION,
         callers: DIRECT_CALLERS,
-        think: DIRECT_THINK,
+        think: DIRECT_THINK_TIME,
         ..settings(arguments)
     };
     let verdict = load::run(&mut bench, &settings, &|_, _| {}).await;
@@ -112,14 +114,17 @@
     Ok(verdict.change_context(Failure::Bench)?.latency_ms)
 }
 
-async fn watched<B: Bench>(mut bench: B, settings: &Settings) -> Result<Verdict, Report<Failure>> {
-    let bar = ProgressBar::new(STEPS);
-    if let Ok(style) = ProgressStyle::with_template(TEMPLATE) {
+async fn run_with_progress<B: Bench>(
+    mut bench: B,
+    settings: &Settings,
+) -> Result<Verdict, Report<Failure>> {
+    let bar = ProgressBar::new(PROGRESS_STEPS);
+    if let Ok(style) = ProgressStyle::with_template(PROGRESS_TEMPLATE) {
         bar.set_style(style);
     }
     let progress = |phase: Phase, share: f64| {
         bar.set_message(phase.to_string());
-        bar.set_position((share.clamp(0.0, 1.0) * STEPS as f64) as u64);
+        bar.set_position((share.clamp(0.0, 1.0) * PROGRESS_STEPS as f64) as u64);
     };
     let verdict = load::run(&mut bench, settings, &progress).await;
     bar.finish_and_clear();
@@ -127,7 +132,7 @@
     verdict.change_context(Failure::Bench)
 }
 
-fn print(verdict: &Verdict, json: bool) -> Result<(), Report<Failure>> {
+fn print_verdict(verdict: &Verdict, json: bool) -> Result<(), Report<Failure>> {
     let text =
         if json { serde_json::to_string(verdict) } else { serde_json::to_string_pretty(verdict) };
     let text = text.change_context(Failure::Output)?;
--- a/programs/trefoil-load/src/main.rs
+++ b/programs/trefoil-load/src/main.rs
@@ -1,4 +1,5 @@
-//! Puts load and faults on the whole path and checks every promise.
+//! Load test: puts load and injected faults on the whole request path and
+//! checks every guarantee of the system.
 
 mod cli;
 mod cmd;
--- a/programs/trefoil-local/src/cli.rs
+++ b/programs/trefoil-local/src/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments and their checks.
+//! Command-line arguments and their validation.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,10 +9,10 @@
 use telemetry::cli::{Invalid, read};
 use telemetry::{Format, Level};
 
-/// Most entries or control members of one process.
-const MOST_PARTS: usize = 32;
+/// Maximum number of entries, and of control members, in one process.
+const MAX_COUNT: usize = 32;
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Debug, Clone)]
 pub(crate) struct Settings {
     pub(crate) listen: SocketAddr,
@@ -25,8 +25,10 @@
     pub(crate) log_format: Format,
 }
 
-/// Reads the arguments; on help, version or an error says so and gives the
-/// code to exit with.
+/// Parses the command line.
+///
+/// # Errors
+/// The exit code, once the help, version or error text has been printed.
 pub(crate) fn parse() -> Result<Settings, ExitCode> {
     options()
         .run_inner(bpaf::Args::current_args())
@@ -52,14 +54,14 @@
         .env("TREFOIL_ENTRIES")
         .help("number of entries")
         .argument::<String>("NUMBER")
-        .parse(|text| count("--entries", &text))
+        .parse(|text| parse_count("--entries", &text))
         .fallback(3)
         .display_fallback();
     let controls = long("controls")
         .env("TREFOIL_CONTROLS")
         .help("number of control members")
         .argument::<String>("NUMBER")
-        .parse(|text| count("--controls", &text))
+        .parse(|text| parse_count("--controls", &text))
         .fallback(3)
         .display_fallback();
     let example = long("example")
@@ -82,10 +84,10 @@
         .descr("trefoillink in one process on loopback, with stand-in database groups")
 }
 
-fn count(flag: &str, text: &str) -> Result<usize, Invalid> {
-    let allowed = format!("a number from 1 to {MOST_PARTS}");
+fn parse_count(flag: &str, text: &str) -> Result<usize, Invalid> {
+    let allowed = format!("a number from 1 to {MAX_COUNT}");
     let number = read(flag, text, &allowed)?;
-    if (1..=MOST_PARTS).contains(&number) {
+    if (1..=MAX_COUNT).contains(&number) {
         Ok(number)
     } else {
         Err(Invalid::new(flag, text, &allowed))
--- a/programs/trefoil-local/src/cmd/mod.rs
+++ b/programs/trefoil-local/src/cmd/mod.rs
@@ -1,3 +1,3 @@
-//! One file a command.
+//! Commands, one module each.
 
 pub(crate) mod run;
--- a/programs/trefoil-local/src/cmd/run.rs
+++ b/programs/trefoil-local/src/cmd/run.rs
@@ -1,4 +1,4 @@
-//! Runs until a signal, then stops as planned.
+//! Runs the system until SIGTERM or SIGINT, then stops it gracefully.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 use crate::cli::Settings;
 
 #[derive(Serialize)]
-struct Line {
+struct Startup {
     ready: bool,
     entries: Vec<String>,
     admin: String,
@@ -21,7 +21,7 @@
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            error!(log, "could not start threads"; "error" => %error);
+            error!(log, "could not start the Tokio runtime"; "error" => %error);
             return ExitCode::FAILURE;
         }
     };
@@ -40,23 +40,23 @@
     let cluster = match cluster.await {
         Ok(cluster) => cluster,
         Err(report) => {
-            error!(log, "could not start"; "error" => format!("{report:?}"));
+            error!(log, "could not start the system"; "error" => format!("{report:?}"));
             return ExitCode::FAILURE;
         }
     };
-    announce(&cluster).await;
-    ended().await;
+    print_startup(&cluster).await;
+    wait_for_signal().await;
     cluster.stop().await;
     ExitCode::SUCCESS
 }
 
-async fn announce(cluster: &Cluster) {
+async fn print_startup(cluster: &Cluster) {
     let entries = cluster.entries().await.iter().map(ToString::to_string).collect();
     let admin = cluster.admins().first().map(ToString::to_string).unwrap_or_default();
-    println!("{}", serde_json::json!(Line { ready: true, entries, admin }));
+    println!("{}", serde_json::json!(Startup { ready: true, entries, admin }));
 }
 
-async fn ended() {
+async fn wait_for_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
--- a/programs/trefoil-local/src/main.rs
+++ b/programs/trefoil-local/src/main.rs
@@ -1,4 +1,5 @@
-//! The whole of trefoillink in one process on loopback, with stand-in groups.
+//! Runs a whole trefoillink system in one process on loopback, with stand-in
+//! database groups.
 
 mod cli;
 mod cmd;
--- a/programs/trefoil-slope/src/cli.rs
+++ b/programs/trefoil-slope/src/cli.rs
@@ -1,25 +1,29 @@
-//! Arguments.
+//! Command-line arguments.
 
 use std::process::ExitCode;
 
 use bpaf::{OptionParser, Parser, construct, pure};
 
-/// What to measure.
+/// Measurement to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
-    /// Cost of a change of the declarations, by entries that follow.
+    /// Cost of a change of the declarations, by number of entries that receive
+    /// the change.
     Change,
-    /// Cost of heartbeats, by entries.
+    /// Cost of a round of heartbeats, by number of entries.
     Beat,
-    /// What a leader does at rest, by databases.
+    /// Load of an idle leader, by number of database groups.
     Lead,
-    /// Time to start again, by changes in the journal.
+    /// Restart time, by number of changes in the journal.
     Restart,
-    /// Memory and image of the state, by its parts.
+    /// Resident memory and encoded size of the state, by component.
     Memory,
 }
 
-/// Reads the arguments.
+/// Parses the command line.
+///
+/// # Errors
+/// The exit code, once the help, version or error text has been printed.
 pub(crate) fn parse() -> Result<Command, ExitCode> {
     options()
         .run_inner(bpaf::Args::current_args())
--- a/programs/trefoil-slope/src/cmd/beat.rs
+++ b/programs/trefoil-slope/src/cmd/beat.rs
@@ -1,4 +1,5 @@
-//! Cost of heartbeats: what a member does for one round of all its entries.
+//! Measures the cost of heartbeats: the work of a member for one round, in which
+//! each of its entries sends one heartbeat.
 
 use base::prelude::*;
 use control::{Event, Leader};
--- a/programs/trefoil-slope/src/cmd/change.rs
+++ b/programs/trefoil-slope/src/cmd/change.rs
@@ -1,7 +1,8 @@
-//! Cost of one change of the declarations.
+//! Measures the cost of one change of the declarations.
 //!
-//! The leader applies it once; each member encodes it once for each entry that
-//! follows it; each entry decodes and applies it.
+//! The leader applies the change once. Each member encodes the change once for
+//! every entry that follows this member. Each entry decodes and applies the
+//! change.
 
 use serde::Serialize;
 use wire::Message;
@@ -43,7 +44,8 @@
     });
     let down = Down { body: Some(down) };
     let bytes = down.encode_to_vec();
-    // the state must be new for each call, and making it must not count
+    // Each call needs a fresh state. The clones are made in advance, outside of
+    // the measured time.
     let mut states = vec![state; CALLS as usize * 8];
     let apply = median(CALLS, || {
         if let Some(mut state) = states.pop() {
--- a/programs/trefoil-slope/src/cmd/lead.rs
+++ b/programs/trefoil-slope/src/cmd/lead.rs
@@ -1,10 +1,10 @@
-//! What a leader does at rest, by databases: its tick, and how many reports it
-//! asks for.
+//! Measures the load of an idle leader by number of database groups: the CPU
+//! time per tick and the rate of status probes.
 //!
-//! The leader is given a primary for each group and leases for all entries
-//! first, by the commands that it proposes itself.
+//! A warm-up comes first. During the warm-up, the leader's own commands
+//! establish a primary for each group and assign leases to the entries.
 
-use std::time::Instant as Wall;
+use std::time::Instant as StdInstant;
 
 use base::prelude::*;
 use control::{Ask, Effect, Event, Leader, State};
@@ -12,7 +12,7 @@
 
 use crate::size::{self, Size};
 
-/// Databases of the sizes measured, with their entries.
+/// Measured sizes.
 const SIZES: [Size; 4] = [
     Size { entries: 9, groups: 3, services: 3 },
     Size { entries: 36, groups: 43, services: 43 },
@@ -20,11 +20,11 @@
     Size { entries: 3_600, groups: 4_300, services: 4_300 },
 ];
 
-/// Rounds of a tick in which the leader settles: twelve seconds.
-const SETTLING: u32 = 600;
+/// Warm-up before the measurement, in ticks: 12 s at 20 ms per tick.
+const WARMUP_TICKS: u32 = 600;
 
-/// Rounds that are measured: ten seconds.
-const MEASURED: u32 = 500;
+/// Duration of the measurement, in ticks: 10 s at 20 ms per tick.
+const MEASURED_TICKS: u32 = 500;
 
 #[derive(Serialize)]
 struct Row {
@@ -42,9 +42,9 @@
     now: Instant,
     state: State,
     leader: Leader,
-    names: Vec<Name>,
-    spent: Duration,
-    reports: u32,
+    entries: Vec<Name>,
+    tick_time: Duration,
+    probes: u32,
     answers: Vec<Event>,
 }
 
@@ -56,52 +56,53 @@
 
 fn measure(size: Size) -> Row {
     let state = size::build_state(size);
-    let names = state.entries.keys().cloned().collect();
+    let entries = state.entries.keys().cloned().collect();
     let leader = Leader::new(Instant::ZERO);
     let mut bench = Bench {
         now: Instant::ZERO,
         state,
         leader,
-        names,
-        spent: Duration::ZERO,
-        reports: 0,
+        entries,
+        tick_time: Duration::ZERO,
+        probes: 0,
         answers: Vec::new(),
     };
-    (0..SETTLING).for_each(|round| bench.round(round));
-    (bench.spent, bench.reports) = (Duration::ZERO, 0);
-    (0..MEASURED).for_each(|round| bench.round(round));
+    (0..WARMUP_TICKS).for_each(|round| bench.round(round));
+    (bench.tick_time, bench.probes) = (Duration::ZERO, 0);
+    (0..MEASURED_TICKS).for_each(|round| bench.round(round));
     let groups = || bench.state.groups.values();
-    let span = control::leader::TICK * MEASURED;
+    let span = control::leader::TICK * MEASURED_TICKS;
     Row {
         measure: "lead",
         groups: size.groups,
         entries: size.entries,
         settled_groups: groups().filter(|group| group.primary.is_some()).count(),
         leased_groups: groups().filter(|group| !group.leases.is_empty()).count(),
-        tick_micros: bench.spent.as_secs_f64() * 1e6 / f64::from(MEASURED),
-        core_share: bench.spent.as_secs_f64() / span.as_secs_f64(),
-        reports_a_second: f64::from(bench.reports) / span.as_secs_f64(),
+        tick_micros: bench.tick_time.as_secs_f64() * 1e6 / f64::from(MEASURED_TICKS),
+        core_share: bench.tick_time.as_secs_f64() / span.as_secs_f64(),
+        reports_a_second: f64::from(bench.probes) / span.as_secs_f64(),
     }
 }
 
 impl Bench {
-    /// One tick, and what follows from it.
+    /// Runs one tick and carries out its effects; every 25 ticks (500 ms) all
+    /// entries send a heartbeat.
     fn round(&mut self, round: u32) {
         self.now += control::leader::TICK;
         let mut events = vec![Event::Tick];
         if round.is_multiple_of(25) {
             events.extend(self.heartbeats());
         }
-        // what was asked in one round is answered in the next
+        // Probes of one round are answered in the next one.
         events.append(&mut self.answers);
         let mut out = Vec::new();
-        let start = Wall::now();
+        let start = StdInstant::now();
         for event in events {
             self.leader.on(self.now, &self.state, event, &mut out);
         }
-        self.spent += start.elapsed();
+        self.tick_time += start.elapsed();
         for effect in out {
-            let answer = self.follow(effect);
+            let answer = self.execute(effect);
             self.answers.extend(answer);
         }
     }
@@ -113,10 +114,10 @@
             applied: self.state.index,
             returned: Vec::new(),
         };
-        self.names.iter().map(heartbeat).collect()
+        self.entries.iter().map(heartbeat).collect()
     }
 
-    fn follow(&mut self, effect: Effect) -> Option<Event> {
+    fn execute(&mut self, effect: Effect) -> Option<Event> {
         match effect {
             Effect::Propose(command) => {
                 let index = self.state.index + 1;
@@ -124,7 +125,7 @@
                 None
             }
             Effect::Probe { group, server, ask, .. } => {
-                self.reports += u32::from(ask == Ask::Status);
+                self.probes += u32::from(ask == Ask::Status);
                 let result = Ok(report(&server));
                 Some(Event::Probed { group, server, ask, result })
             }
@@ -132,7 +133,7 @@
     }
 }
 
-/// A server that is well; the first of each group is its primary.
+/// Returns the status of a healthy server; server 0 of each group is the primary.
 fn report(server: &Name) -> Status {
     let first = server.as_str().ends_with("-0");
     let mut history = History::default();
--- a/programs/trefoil-slope/src/cmd/memory.rs
+++ b/programs/trefoil-slope/src/cmd/memory.rs
@@ -1,7 +1,8 @@
-//! Memory and image of the state, by its parts.
+//! Measures the resident memory and the encoded size of the state, by component.
 //!
-//! Memory is the growth of the process's resident pages while many copies of a
-//! part are built, divided by their number.
+//! Resident memory per item is the growth of the process's resident pages while
+//! a state with many items of a component is decoded, divided by the number of
+//! items.
 
 use control::State;
 use error_stack::{Report, ResultExt};
@@ -12,11 +13,12 @@
 
 const PAGE_BYTES: u64 = 4_096;
 
-/// The users' size: nodes, databases, and one service each.
-const WHOLE: Size = Size { entries: 3_600, groups: 4_300, services: 4_300 };
+/// Size of the users' system: one entry per node, one group per database, and as
+/// many services as databases.
+const FULL_SIZE: Size = Size { entries: 3_600, groups: 4_300, services: 4_300 };
 
-/// Number of the part that is measured.
-const MANY: usize = 20_000;
+/// Items of a component in a measured state.
+const ITEM_COUNT: usize = 20_000;
 
 #[derive(Serialize)]
 struct Row {
@@ -29,10 +31,14 @@
 
 pub(crate) fn run() -> Result<(), Report<Failure>> {
     let parts = [
-        ("entry", MANY, Size { entries: MANY, ..Size::default() }),
-        ("group of three servers", MANY, Size { groups: MANY, ..Size::default() }),
-        ("service with its selector", MANY, Size { services: MANY, groups: 1, ..Size::default() }),
-        ("whole state", 1, WHOLE),
+        ("entry", ITEM_COUNT, Size { entries: ITEM_COUNT, ..Size::default() }),
+        ("group of three servers", ITEM_COUNT, Size { groups: ITEM_COUNT, ..Size::default() }),
+        (
+            "service with its selector",
+            ITEM_COUNT,
+            Size { services: ITEM_COUNT, groups: 1, ..Size::default() },
+        ),
+        ("whole state", 1, FULL_SIZE),
     ];
     for (part, number, size) in parts {
         println!("{}", serde_json::json!(measure(part, number, size)?));
@@ -41,13 +47,15 @@
 }
 
 fn measure(part: &'static str, number: usize, size: Size) -> Result<Row, Report<Failure>> {
-    // the first copy stays, so that the second one can't take its place
+    // The first copy stays allocated so that the second one can't reuse its
+    // memory.
     let first = size::build_state(size);
     let bytes = first.encode();
-    let before = resident()?;
+    let before = resident_bytes()?;
     let state = State::decode(&bytes).change_context(Failure::Image)?;
-    let after = resident()?;
-    // freed pages would be taken by the next part and not show
+    let after = resident_bytes()?;
+    // Both copies are leaked: the next component would reuse freed pages, and its
+    // growth would not be measured.
     std::mem::forget((first, state));
     Ok(Row {
         measure: "memory",
@@ -58,7 +66,7 @@
     })
 }
 
-fn resident() -> Result<u64, Report<Failure>> {
+fn resident_bytes() -> Result<u64, Report<Failure>> {
     let text = std::fs::read_to_string("/proc/self/statm").change_context(Failure::Folder)?;
     let pages = text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
     Ok(pages.ok_or(Failure::Folder)? * PAGE_BYTES)
--- a/programs/trefoil-slope/src/cmd/mod.rs
+++ b/programs/trefoil-slope/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file a measurement.
+//! Measurements, one module each.
 
 pub(crate) mod beat;
 pub(crate) mod change;
--- a/programs/trefoil-slope/src/cmd/restart.rs
+++ b/programs/trefoil-slope/src/cmd/restart.rs
@@ -1,4 +1,5 @@
-//! Time to start again, and bytes on disk, by changes in the journal.
+//! Measures the restart time of a member and its bytes on disk, by number of
+//! changes in the journal.
 
 use std::time::Instant;
 
@@ -13,17 +14,17 @@
 
 const CHANGES: [u64; 4] = [10, 100, 1_000, 10_000];
 
-/// Changes between two snapshots, as a member keeps them.
+/// Changes between two snapshots, as in a member.
 const SNAPSHOT_EVERY: u64 = 1_024;
 
-/// Why a measurement failed.
+/// Error of a measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub(crate) enum Failure {
-    /// No folder to write to.
+    /// A folder or file could not be created or read.
     Folder,
-    /// The journal failed.
+    /// The journal could not be written or read back.
     Journal,
-    /// The state's image was not read.
+    /// The encoded state could not be decoded.
     Image,
 }
 
@@ -64,8 +65,8 @@
         let index = state.index + 1;
         state.apply(index, &command);
         let entries = vec![Entry { index, bytes: command.encode_to_vec() }];
-        let due = (number + 1).is_multiple_of(SNAPSHOT_EVERY);
-        let snapshot = due.then(|| Snapshot { index, bytes: state.encode() });
+        let is_snapshot_due = (number + 1).is_multiple_of(SNAPSHOT_EVERY);
+        let snapshot = is_snapshot_due.then(|| Snapshot { index, bytes: state.encode() });
         if let Some(snapshot) = &snapshot {
             snapshot_bytes = snapshot.bytes.len();
         }
@@ -74,7 +75,7 @@
     }
     let written = start.elapsed();
     drop(journal);
-    let journal_bytes = bytes(folder.path())?;
+    let journal_bytes = folder_bytes(folder.path())?;
     let start = Instant::now();
     let disk = Folder::open(folder.path()).change_context(Failure::Folder)?;
     let (_journal, recovered) = Journal::open(disk).change_context(Failure::Journal)?;
@@ -94,7 +95,7 @@
     })
 }
 
-fn bytes(folder: &std::path::Path) -> Result<u64, Report<Failure>> {
+fn folder_bytes(folder: &std::path::Path) -> Result<u64, Report<Failure>> {
     let mut total = 0;
     for file in std::fs::read_dir(folder).change_context(Failure::Folder)? {
         let file = file.change_context(Failure::Folder)?;
--- a/programs/trefoil-slope/src/main.rs
+++ b/programs/trefoil-slope/src/main.rs
@@ -1,6 +1,7 @@
-//! Measures how the cost of control grows: the slopes that `docs/CAPACITY.md`
-//! is worked out from. Decision state machines, encoded messages and the
-//! journal; no sockets. One JSON object a line.
+//! Measures how the cost of the control quorum grows with the size of the
+//! system. The capacity plan in `docs/CAPACITY.md` is calculated from these
+//! slopes. Only the decision state machines, encoded messages and the journal
+//! are measured, without sockets. Prints one JSON object per line.
 
 mod cli;
 mod cmd;
--- a/programs/trefoil-slope/src/size.rs
+++ b/programs/trefoil-slope/src/size.rs
@@ -1,17 +1,18 @@
-//! States of a given size, built by the commands that a real log would hold.
+//! Replicated states of a given size, built by applying the same commands as a
+//! real log.
 
 use config::model::{Measure, Objective};
 use config::{Declarations, Group, Labels, Limits, Patch, Selector, Service};
 use control::State;
 use wire::log::{Announce, Command, Configure, Join, Label, command::Body};
 
-/// Entries of the sizes measured.
+/// Numbers of entries that the measurements use.
 pub(crate) const ENTRIES: [usize; 4] = [9, 90, 900, 3_600];
 
-/// Servers of a group.
+/// Backend servers per group.
 pub(crate) const SERVERS: usize = 3;
 
-/// How large a state is.
+/// Size of a state: numbers of entries, groups and services.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Size {
     pub(crate) entries: usize,
@@ -19,32 +20,33 @@
     pub(crate) services: usize,
 }
 
-/// Builds a state.
+/// Builds a state of the given size.
 pub(crate) fn build_state(size: Size) -> State {
     let mut state = State::default();
-    let mut put = |body| {
+    let mut apply = |body| {
         let index = state.index + 1;
         state.apply(index, &Command { body: Some(body) });
     };
-    put(configure("first", 0, &build_declarations(size)));
+    apply(configure("first", 0, &build_declarations(size)));
     for entry in 0..size.entries {
-        put(join(entry));
+        apply(join(entry));
     }
     for group in 0..size.groups {
         for server in 0..SERVERS {
-            put(announce(group, server));
+            apply(announce(group, server));
         }
     }
     state
 }
 
-/// The first change of the declarations.
+/// Returns the command that replaces the declarations as a whole.
 pub(crate) fn configure(change: &str, base: u64, declarations: &Declarations) -> Body {
     let (change, patch) = (change.to_owned(), String::new());
     Body::Configure(Configure { change, base, content: declarations.canonical(), patch })
 }
 
-/// A change of the weight of one service.
+/// Returns the command that changes the weight of the first service, as a patch
+/// against `from`.
 pub(crate) fn change_weight(change: &str, base: u64, from: &Declarations, weight: u32) -> Body {
     let mut to = from.clone();
     if let Some(service) = to.services.values_mut().next() {
@@ -55,7 +57,7 @@
     Body::Configure(Configure { change, base, content: String::new(), patch })
 }
 
-/// An entry that joins.
+/// Returns the command by which the entry with the given number joins.
 pub(crate) fn join(entry: usize) -> Body {
     Body::Join(Join {
         entry: format!("entry-{entry}"),
@@ -84,7 +86,7 @@
     })
 }
 
-/// Declarations with one selector a service.
+/// Builds declarations with one selector per service.
 pub(crate) fn build_declarations(size: Size) -> Declarations {
     let name = |text: String| text.parse().expect("the name is valid");
     let mut declarations = Declarations::default();
--- a/programs/trefoil-slope/src/timer.rs
+++ b/programs/trefoil-slope/src/timer.rs
@@ -1,10 +1,11 @@
-//! Time per call, as the median of several rounds.
+//! Measures the time per call as the median of several rounds.
 
 use std::time::{Duration, Instant};
 
 const ROUNDS: usize = 7;
 
-/// Runs `work` in several rounds of `calls` and returns the median time of a call.
+/// Runs `work` in several rounds of `calls` calls each and returns the median
+/// over the rounds of the mean time per call.
 pub(crate) fn median(calls: u32, mut work: impl FnMut()) -> Duration {
     let mut rounds = [Duration::ZERO; ROUNDS];
     for round in &mut rounds {
--- a/programs/trefoil-soak/src/cli.rs
+++ b/programs/trefoil-soak/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
--- a/programs/trefoil-soak/src/cmd.rs
+++ b/programs/trefoil-soak/src/cmd.rs
@@ -1,4 +1,4 @@
-//! Soaks, one seed after the other.
+//! Runs the soaks in sequence, one per seed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,25 +10,25 @@
 
 use crate::cli::Options;
 
-const BROKEN: u8 = 1;
-const FAILED: u8 = 3;
+const EXIT_VIOLATED: u8 = 1;
+const EXIT_FAILED: u8 = 3;
 
-/// Mean time between an answer and a session's next request.
-const THINK: Duration = Duration::from_millis(40);
+/// Mean time between an answer and the session's next request.
+const MEAN_THINK_TIME: Duration = Duration::from_millis(40);
 
-/// Runs all soaks; the exit code tells the worst of them.
+/// Runs all soaks and returns the highest exit code among them.
 pub fn run(options: Options) -> ExitCode {
     let log = telemetry::logger("trefoil-soak", telemetry::Level::Error, telemetry::Format::Auto);
-    let kept = tempfile::tempdir();
-    let folder = options.folder.or(kept.as_ref().ok().map(|kept| kept.path().to_owned()));
-    let programs = options.programs.or_else(own_folder);
+    let temporary = tempfile::tempdir();
+    let folder = options.folder.or(temporary.as_ref().ok().map(|folder| folder.path().to_owned()));
+    let programs = options.programs.or_else(program_folder);
     let (Some(folder), Some(programs)) = (folder, programs) else {
-        eprintln!("no folder for data, or none of the programs");
-        return ExitCode::from(FAILED);
+        eprintln!("no data folder, or no folder of the programs");
+        return ExitCode::from(EXIT_FAILED);
     };
     let Ok(runtime) = tokio::runtime::Runtime::new() else {
-        eprintln!("the runtime could not be set up");
-        return ExitCode::from(FAILED);
+        eprintln!("could not start the Tokio runtime");
+        return ExitCode::from(EXIT_FAILED);
     };
     let mut code = 0;
     for seed in options.seed..options.seed + options.seeds {
@@ -37,31 +37,31 @@
             seed,
             length: Duration::from_secs(options.seconds),
             callers: options.callers,
-            think: THINK,
+            think: MEAN_THINK_TIME,
         };
-        code = code.max(runtime.block_on(one(&settings, &log)));
+        code = code.max(runtime.block_on(run_seed(&settings, &log)));
     }
     ExitCode::from(code)
 }
 
-fn own_folder() -> Option<PathBuf> {
+fn program_folder() -> Option<PathBuf> {
     Some(std::env::current_exe().ok()?.parent()?.to_owned())
 }
 
-async fn one(settings: &Settings, log: &Logger) -> u8 {
+async fn run_seed(settings: &Settings, log: &Logger) -> u8 {
     match soak::run(settings, log).await {
         Ok(outcome) => {
-            print(settings.seed, &outcome);
-            u8::from(outcome.is_broken()) * BROKEN
+            print_outcome(settings.seed, &outcome);
+            u8::from(outcome.is_broken()) * EXIT_VIOLATED
         }
         Err(report) => {
-            failed(settings.seed, &report);
-            FAILED
+            print_failure(settings.seed, &report);
+            EXIT_FAILED
         }
     }
 }
 
-fn print(seed: u64, outcome: &Outcome) {
+fn print_outcome(seed: u64, outcome: &Outcome) {
     let Outcome { verdict, told } = outcome;
     println!(
         "seed {seed}: {}, {} faults, {} writes acknowledged, {} in doubt, {} changes",
@@ -78,6 +78,6 @@
     }
 }
 
-fn failed(seed: u64, report: &Report<Failure>) {
+fn print_failure(seed: u64, report: &Report<Failure>) {
     println!("seed {seed}: FAILED: {report:?}");
 }
--- a/programs/trefoil-soak/src/main.rs
+++ b/programs/trefoil-soak/src/main.rs
@@ -1,8 +1,9 @@
-//! Runs the real programs under load and faults from outside of them, and
-//! checks every promise.
+//! Soak test: starts the control and entry programs as processes, puts load on
+//! them, injects faults from outside of them, and checks every guarantee of the
+//! system.
 //!
-//! Exit codes: 0 when all promises held, 1 when one was broken, 2 when it was
-//! called wrongly, 3 when a soak could not be run.
+//! Exit codes: 0 when all guarantees held, 1 when at least one was violated, 2
+//! for invalid arguments, 3 when a soak could not be run.
 
 mod cli;
 mod cmd;
--- a/programs/trefoil-soak/tests/short.rs
+++ b/programs/trefoil-soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! A short soak of a fixed seed.
+//! Short soak with a fixed seed.
 
 use std::path::Path;
 use std::process::Command;
@@ -13,7 +13,7 @@
     let mut command = Command::new(program);
     command.args(["--seed", "1", "--seeds", "1", "--seconds", "6", "--callers", "24"]);
     let output = command.output().unwrap();
-    let told = String::from_utf8_lossy(&output.stdout);
-    assert_eq!(output.status.code(), Some(0), "{told}");
-    assert_eq!(told.matches(": kept,").count(), 1, "{told}");
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    assert_eq!(output.status.code(), Some(0), "{stdout}");
+    assert_eq!(stdout.matches(": kept,").count(), 1, "{stdout}");
 }
--- a/programs/trefoil-standin/src/cli.rs
+++ b/programs/trefoil-standin/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 
@@ -12,37 +12,38 @@
 pub struct Arguments {
     /// Name of the group.
     pub name: Name,
-    /// Availability zones, given to the servers in turn.
+    /// Availability zones, assigned to the servers round-robin.
     pub zones: Vec<Name>,
     /// Number of servers.
     pub servers: usize,
-    /// Statements that a server runs at once.
+    /// Maximum number of statements that a server runs concurrently.
     pub slots: usize,
-    /// Data connections that a server accepts.
+    /// Maximum number of data connections per server.
     pub connections: usize,
-    /// Time that a connection takes to open, in milliseconds.
+    /// Time to open a connection, in milliseconds.
     pub connect_ms: u64,
-    /// Lag of the replicas in milliseconds.
+    /// Time from receipt to visibility of a write on a replica, in milliseconds.
     pub lag_ms: u64,
-    /// Web addresses of control members.
+    /// HTTP addresses of the control members to which the servers announce
+    /// themselves.
     pub controls: Vec<SocketAddr>,
-    /// Seed of what is drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Whether server 0 starts as primary.
+    /// Whether server 0 starts as the primary of term 1.
     pub settled: bool,
-    /// Least severity that is logged.
+    /// Minimum severity of logged messages.
     pub level: Level,
-    /// Form of the log.
+    /// Output format of the log.
     pub format: Format,
 }
 
-/// The parser of the arguments.
+/// Returns the parser of the command line.
 pub fn arguments() -> OptionParser<Arguments> {
     let name = long("name")
         .env("TREFOIL_NAME")
         .help("name of the group")
         .argument("NAME")
-        .fallback(group())
+        .fallback(default_name())
         .display_fallback();
     let zones = long("zone")
         .help("availability zone of the next server in turn; may be repeated")
@@ -96,8 +97,8 @@
     .descr("A stand-in of a database group, for benches")
 }
 
-fn group() -> Name {
-    Name::new("entries-1").expect("the text is a name")
+fn default_name() -> Name {
+    Name::new("entries-1").expect("the default name is valid")
 }
 
 fn number(
--- a/programs/trefoil-standin/src/cmd/serve.rs
+++ b/programs/trefoil-standin/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the group until the process is told to end.
+//! Runs the group until SIGTERM or SIGINT.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,23 +14,23 @@
 
 use crate::cli::Arguments;
 
-/// Why the program failed.
+/// Error of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The runtime or its signals could not be set up.
+    /// The Tokio runtime or the signal handlers could not be set up.
     Runtime,
     /// The group could not start.
     Start,
-    /// Standard output could not be written.
+    /// The ready line could not be written to standard output.
     Output,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Runtime => "the runtime could not be set up",
-            Self::Start => "the group could not start",
-            Self::Output => "standard output could not be written",
+            Self::Runtime => "could not set up the Tokio runtime or the signal handlers",
+            Self::Start => "could not start the group",
+            Self::Output => "could not write to standard output",
         })
     }
 }
@@ -43,13 +43,13 @@
     servers: Vec<SocketAddr>,
 }
 
-/// Runs the group; the exit code is zero after a planned stop.
+/// Runs the group. The exit code is 0 after a stop by SIGTERM or SIGINT.
 pub fn run(arguments: Arguments) -> ExitCode {
     let log = telemetry::logger("trefoil-standin", arguments.level, arguments.format);
     match serve(arguments, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            error!(log, "failed"; "error" => ?report);
+            error!(log, "the stand-in group failed"; "error" => ?report);
             ExitCode::FAILURE
         }
     }
@@ -61,7 +61,7 @@
         let mut terminate = signal(SignalKind::terminate()).change_context(Failure::Runtime)?;
         let mut interrupt = signal(SignalKind::interrupt()).change_context(Failure::Runtime)?;
         let group = Group::start(settings(arguments, log)).await.change_context(Failure::Start)?;
-        announce(&group)?;
+        print_ready(&group)?;
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
@@ -92,7 +92,7 @@
     }
 }
 
-fn announce(group: &Group) -> Result<(), Report<Failure>> {
+fn print_ready(group: &Group) -> Result<(), Report<Failure>> {
     let ready = Ready { group: group.name(), servers: group.servers() };
     let line = serde_json::to_string(&ready).change_context(Failure::Output)?;
     let mut output = std::io::stdout().lock();
--- a/programs/trefoil-standin/src/main.rs
+++ b/programs/trefoil-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! One stand-in of a database group, as a process of its own.
+//! Runs a stand-in database group as a separate process.
 
 mod cli;
 mod cmd;
--- a/programs/trefoilctl/src/cli.rs
+++ b/programs/trefoilctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
     pub command: Command,
 }
 
-/// Addresses with commas between.
+/// Addresses in a comma-separated list.
 #[derive(Debug, Clone)]
 pub struct Addresses(pub Vec<SocketAddr>);
 
@@ -25,7 +25,7 @@
     type Err = AddrParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        text.split(',').map(|one| one.trim().parse()).collect::<Result<_, _>>().map(Self)
+        text.split(',').map(|address| address.trim().parse()).collect::<Result<_, _>>().map(Self)
     }
 }
 
--- a/programs/trefoilctl/src/client.rs
+++ b/programs/trefoilctl/src/client.rs
@@ -1,4 +1,5 @@
-//! Asks control members over HTTP: any of them, one after the other.
+//! HTTP client of the control members. Tries the members in turn until one of
+//! them serves the request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,109 +12,112 @@
 
 use crate::failure::Failure;
 
-/// Longest time for one question to one member.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of one request to one member.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time for the leader's answer where another member's is at hand.
+/// Timeout of a request to the leader when a follower has already answered.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time for one entry's page.
+/// Timeout of a request for an entry's page of counters.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Rounds over all members before a command gives up.
-const ROUNDS: usize = 4;
+/// Rounds over all members before a command fails.
+const MAX_ROUNDS: usize = 4;
 
-/// Pause between two rounds, unless a member names another.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Pause between two rounds, unless a member asks for a longer one.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Longest pause that a member may ask for.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+/// Upper limit for the pause that a member may ask for.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(5);
 
-/// A change of the declarations.
+/// Request to change the declarations.
 #[derive(Debug, Clone, Serialize)]
 pub struct Change {
-    /// Its id.
+    /// Id of the change; members answer a repeated id with the first answer.
     #[serde(rename = "change")]
     pub id: String,
-    /// Version that it starts from.
+    /// Version that the change is based on.
     pub base: u64,
-    /// Canonical text of the declarations.
+    /// Canonical text of the new declarations.
     pub content: String,
 }
 
-/// An accepted change.
+/// Answer to an accepted change.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct Accepted {
-    /// Version that it made.
+    /// Version of the declarations that the change created.
     pub version: u64,
-    /// Index at which it was committed.
+    /// Log index at which the change was committed.
     pub index: u64,
 }
 
 /// The declarations in force.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Current {
-    /// Their version.
+    /// Version of the declarations.
     pub version: u64,
-    /// Their canonical text.
+    /// Canonical text of the declarations.
     pub content: String,
 }
 
-/// A change of the members.
+/// Request to change the members of the control quorum.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "action", rename_all = "lowercase")]
 pub enum Membership {
-    /// A new member.
+    /// Adds a member.
     Add {
-        /// Its name.
+        /// Name of the new member.
         name: String,
-        /// Address of its links.
+        /// Address of the member's link port.
         link: SocketAddr,
-        /// Address of its web port.
+        /// Address of the member's HTTP port.
         web: SocketAddr,
     },
-    /// A member that goes.
+    /// Removes a member.
     Remove {
-        /// Its name.
+        /// Name of the removed member.
         name: String,
     },
 }
 
-/// An operator's wish for an entry.
+/// Request to drain an entry or to put it back into use.
 #[derive(Debug, Clone, Serialize)]
 pub struct Drain {
-    /// Its name.
+    /// Name of the entry.
     pub entry: String,
-    /// Whether it is to be drained.
+    /// Whether the entry drains; false puts the entry back into use.
     pub on: bool,
 }
 
-/// A fault in a stand-in group.
+/// Request to inject a fault into a stand-in group.
 #[derive(Debug, Clone, Serialize)]
 pub struct Fault {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// The fault.
+    /// Fault to inject, with its argument if the fault takes one.
     pub fault: String,
 }
 
-/// Body of an answer that is no success.
+/// Body of an error answer.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
-struct Refusal {
+struct ErrorBody {
     error: String,
     version: u64,
     retry_after_ms: u64,
 }
 
-/// Whether another member may still serve.
-enum Trial<T> {
+/// Result of one request to one member.
+enum Attempt<T> {
+    /// The member served the request.
     Done(T),
-    Over(Report<Failure>),
-    Later(Duration),
+    /// The request failed; no other member is tried.
+    Failed(Report<Failure>),
+    /// Another member, or this one after the given pause, may serve the request.
+    Retry(Duration),
 }
 
-/// Asks the members at some addresses.
+/// HTTP client of the control members at the given addresses.
 #[derive(Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -121,57 +125,62 @@
 }
 
 impl Client {
-    /// Makes a client; nothing is sent yet.
+    /// Creates a client without connecting.
     ///
     /// # Errors
-    /// [`Failure::NoAddress`] without a member.
+    /// [`Failure::NoAddress`] if `members` is empty.
     pub fn new(members: Vec<SocketAddr>) -> Result<Self, Report<Failure>> {
         if members.is_empty() {
             return Err(Report::new(Failure::NoAddress));
         }
-        let built = reqwest::Client::builder().timeout(TIMEOUT).no_proxy().build();
+        let built = reqwest::Client::builder().timeout(REQUEST_TIMEOUT).no_proxy().build();
         Ok(Self { http: built.change_context(Failure::MalformedAnswer)?, members })
     }
 
-    /// Changes the declarations. Asked again under the same id, members give
-    /// the first answer, so a lost answer is asked for again.
+    /// Changes the declarations. Members answer a repeated id with the first
+    /// answer, so the request can be retried safely when an answer is lost.
     pub async fn submit(&self, change: &Change) -> Result<Accepted, Report<Failure>> {
         self.post("/v1/changes", change).await
     }
 
-    /// The declarations in force.
+    /// Returns the declarations in force.
     pub async fn fetch_config(&self) -> Result<Current, Report<Failure>> {
-        self.ask(|http, base| http.get(format!("{base}/v1/config"))).await
+        self.try_members(|http, base| http.get(format!("{base}/v1/config"))).await
     }
 
-    /// What a member tells of the system: the leader, where it can be reached,
-    /// since it alone sees roles, lag and when a failover was noticed.
+    /// Returns the status of the system, from the leader if it is reachable and
+    /// from any other member otherwise. Only the leader knows roles, lag and the
+    /// time at which a failover was noticed.
     pub async fn fetch_status(&self) -> Result<Overview, Report<Failure>> {
-        let told: Overview = self.ask(|http, base| http.get(format!("{base}/v1/status"))).await?;
-        if told.leads {
-            return Ok(told);
+        let overview: Overview =
+            self.try_members(|http, base| http.get(format!("{base}/v1/status"))).await?;
+        if overview.leads {
+            return Ok(overview);
         }
-        let leader = told.members.iter().find(|member| Some(&member.name) == told.leader.as_ref());
+        let leader =
+            overview.members.iter().find(|member| Some(&member.name) == overview.leader.as_ref());
         let Some(leader) = leader else {
-            return Ok(told);
+            return Ok(overview);
         };
         let request = self.http.get(format!("http://{}/v1/status", leader.web));
-        match once::<Overview>(request.timeout(LEADER_TIMEOUT)).await {
-            Trial::Done(led) if led.leads => Ok(led),
-            Trial::Done(_) | Trial::Over(_) | Trial::Later(_) => Ok(told),
+        match send::<Overview>(request.timeout(LEADER_TIMEOUT)).await {
+            Attempt::Done(leading) if leading.leads => Ok(leading),
+            Attempt::Done(_) | Attempt::Failed(_) | Attempt::Retry(_) => Ok(overview),
         }
     }
 
-    /// What an entry counted against objectives, if it tells in time.
+    /// Returns an entry's counters for its objectives, or `None` if the entry
+    /// does not answer in time.
     pub async fn fetch_page(&self, web: &str) -> Option<burn::Page> {
         let request = self.http.get(format!("http://{web}/v1/burn"));
-        match once(request.timeout(PAGE_TIMEOUT)).await {
-            Trial::Done(page) => Some(page),
-            Trial::Over(_) | Trial::Later(_) => None,
+        match send(request.timeout(PAGE_TIMEOUT)).await {
+            Attempt::Done(page) => Some(page),
+            Attempt::Failed(_) | Attempt::Retry(_) => None,
         }
     }
 
-    /// Posts a wish whose repetition changes nothing.
+    /// Posts an idempotent request, which may be sent again when its answer is
+    /// lost.
     pub async fn post_idempotent(
         &self,
         path: &str,
@@ -186,62 +195,62 @@
         path: &str,
         body: &impl Serialize,
     ) -> Result<T, Report<Failure>> {
-        self.ask(|http, base| http.post(format!("{base}{path}")).json(body)).await
+        self.try_members(|http, base| http.post(format!("{base}{path}")).json(body)).await
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn try_members<T: DeserializeOwned>(
         &self,
         request: impl Fn(&reqwest::Client, &str) -> reqwest::RequestBuilder,
     ) -> Result<T, Report<Failure>> {
-        for round in 0..ROUNDS {
-            let mut pause = PAUSE;
+        for round in 0..MAX_ROUNDS {
+            let mut pause = RETRY_PAUSE;
             for member in &self.members {
-                match once(request(&self.http, &format!("http://{member}"))).await {
-                    Trial::Done(answer) => return Ok(answer),
-                    Trial::Over(report) => return Err(report),
-                    Trial::Later(after) => pause = pause.max(after),
+                match send(request(&self.http, &format!("http://{member}"))).await {
+                    Attempt::Done(answer) => return Ok(answer),
+                    Attempt::Failed(report) => return Err(report),
+                    Attempt::Retry(after) => pause = pause.max(after),
                 }
             }
-            if round + 1 < ROUNDS {
-                tokio::time::sleep(pause.min(LONGEST_PAUSE)).await;
+            if round + 1 < MAX_ROUNDS {
+                tokio::time::sleep(pause.min(MAX_RETRY_PAUSE)).await;
             }
         }
         Err(Report::new(Failure::Unreachable { tried: self.members.len() }))
     }
 }
 
-async fn once<T: DeserializeOwned>(request: reqwest::RequestBuilder) -> Trial<T> {
+async fn send<T: DeserializeOwned>(request: reqwest::RequestBuilder) -> Attempt<T> {
     let Ok(response) = request.send().await else {
-        return Trial::Later(Duration::ZERO);
+        return Attempt::Retry(Duration::ZERO);
     };
     let status = response.status();
     let Ok(body) = response.bytes().await else {
-        return Trial::Later(Duration::ZERO);
+        return Attempt::Retry(Duration::ZERO);
     };
     if status.is_success() {
         let empty = body.is_empty();
         let read = serde_json::from_slice(if empty { b"null" } else { &body });
         return match read.change_context(Failure::MalformedAnswer) {
-            Ok(answer) => Trial::Done(answer),
-            Err(report) => Trial::Over(report),
+            Ok(answer) => Attempt::Done(answer),
+            Err(report) => Attempt::Failed(report),
         };
     }
-    let refusal: Refusal = serde_json::from_slice(&body).unwrap_or_default();
+    let error_body: ErrorBody = serde_json::from_slice(&body).unwrap_or_default();
     match status {
         StatusCode::CONFLICT => {
-            Trial::Over(Report::new(Failure::Conflict { version: refusal.version }))
+            Attempt::Failed(Report::new(Failure::Conflict { version: error_body.version }))
         }
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::BAD_GATEWAY => {
-            Trial::Later(Duration::from_millis(refusal.retry_after_ms))
+            Attempt::Retry(Duration::from_millis(error_body.retry_after_ms))
         }
         _ => {
-            let said = if refusal.error.is_empty() {
+            let error = if error_body.error.is_empty() {
                 String::from_utf8_lossy(&body).trim().to_owned()
             } else {
-                refusal.error
+                error_body.error
             };
-            let text = if said.is_empty() { status.to_string() } else { said };
-            Trial::Over(Report::new(Failure::Refused { text }))
+            let text = if error.is_empty() { status.to_string() } else { error };
+            Attempt::Failed(Report::new(Failure::Refused { text }))
         }
     }
 }
--- a/programs/trefoilctl/src/cmd.rs
+++ b/programs/trefoilctl/src/cmd.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! Commands, one module each.
 
 mod apply;
 mod burn;
@@ -16,9 +16,9 @@
 use crate::client::Client;
 use crate::failure::Failure;
 
-/// Runs a command.
+/// Runs the command given in `options`.
 pub async fn run(options: Options) -> Result<(), Report<Failure>> {
-    let admin: Vec<_> = options.admin.into_iter().flat_map(|some| some.0).collect();
+    let admin: Vec<_> = options.admin.into_iter().flat_map(|addresses| addresses.0).collect();
     let client = || Client::new(admin.clone());
     match options.command {
         Command::Apply { files, wait, change, base } => {
--- a/programs/trefoilctl/src/cmd/apply.rs
+++ b/programs/trefoilctl/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts a directory of declarations in force.
+//! `apply`: puts the declarations of a directory in force.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,20 +9,20 @@
 use crate::client::{Accepted, Change, Client};
 use crate::failure::Failure;
 
-/// Longest time to wait for the entries.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Longest wait until all entries have applied the change.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time between two looks at them.
-const LOOK: Duration = Duration::from_millis(200);
+/// Time between two status requests during this wait.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How to apply.
+/// Options of `apply`.
 #[derive(Debug)]
 pub struct Options {
-    /// Whether to wait for the entries.
+    /// Whether to wait until all entries have applied the change.
     pub wait: bool,
-    /// Id of the change.
+    /// Id of the change; random by default.
     pub change: Option<String>,
-    /// Version to start from.
+    /// Version that the change is based on; the current one by default.
     pub base: Option<u64>,
 }
 
@@ -35,10 +35,10 @@
         Some(_) => None,
         None => Some(client.fetch_config().await?),
     };
-    let same = current.as_ref().is_some_and(|current| {
+    let is_unchanged = current.as_ref().is_some_and(|current| {
         Declarations::parse(&current.content).is_ok_and(|current| current == declarations)
     });
-    if same && options.change.is_none() {
+    if is_unchanged && options.change.is_none() {
         println!("nothing to change: these declarations are in force");
         return Ok(());
     }
@@ -48,15 +48,15 @@
     let answer = client.submit(&change).await;
     let accepted = answer.inspect_err(|report| {
         if matches!(report.current_context(), Failure::Unreachable { .. }) {
-            eprintln!("ask again with: --change {} --base {base}", change.id);
+            eprintln!("retry with: --change {} --base {base}", change.id);
         }
     })?;
     println!("version {} is accepted", accepted.version);
-    if options.wait { wait(client, accepted).await } else { Ok(()) }
+    if options.wait { wait_for_entries(client, accepted).await } else { Ok(()) }
 }
 
-async fn wait(client: &Client, accepted: Accepted) -> Result<(), Report<Failure>> {
-    let began = Instant::now();
+async fn wait_for_entries(client: &Client, accepted: Accepted) -> Result<(), Report<Failure>> {
+    let start = Instant::now();
     loop {
         let overview = client.fetch_status().await?;
         let behind = |entry: &&control::overview::Entry| {
@@ -72,9 +72,9 @@
             );
             return Ok(());
         }
-        if began.elapsed() >= PATIENCE {
+        if start.elapsed() >= APPLY_TIMEOUT {
             return Err(Report::new(Failure::NotApplied { entries }));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/programs/trefoilctl/src/cmd/burn.rs
+++ b/programs/trefoilctl/src/cmd/burn.rs
@@ -1,4 +1,4 @@
-//! `burn`: shows what is left of error budgets, over all entries.
+//! `burn`: shows the remaining error budgets, summed over all entries.
 
 use std::path::PathBuf;
 
@@ -13,20 +13,20 @@
 use crate::client::Client;
 use crate::failure::Failure;
 
-/// How the report is wanted.
+/// Options of `burn`.
 #[derive(Debug)]
 pub struct Options {
-    /// As JSON.
+    /// Whether to print the report as JSON.
     pub json: bool,
-    /// Whether an alarm is a failure.
+    /// Whether an alarm makes the command fail.
     pub check: bool,
-    /// Where to write a page with plots.
+    /// File for a copy of the report as an HTML page with plots.
     pub html: Option<PathBuf>,
 }
 
 /// Runs the command.
 pub async fn run(client: &Client, options: Options) -> Result<(), Report<Failure>> {
-    let report = ask(client).await?;
+    let report = fetch_report(client).await?;
     if let Some(path) = options.html {
         let page = burn::html::render(&report).change_context(Failure::MalformedAnswer)?;
         std::fs::write(&path, page).change_context(Failure::WriteFile { path })?;
@@ -43,13 +43,13 @@
     Ok(())
 }
 
-/// Asks all entries that live, at the same time.
-async fn ask(client: &Client) -> Result<burn::Report, Report<Failure>> {
+/// Fetches the counters of all live entries concurrently and merges them.
+async fn fetch_report(client: &Client) -> Result<burn::Report, Report<Failure>> {
     let current = client.fetch_config().await?;
     let declarations: Declarations =
         serde_json::from_str(&current.content).change_context(Failure::MalformedAnswer)?;
     let entries = client.fetch_status().await?.entries;
-    let answers = join_all(entries.iter().map(|entry| page(client, entry))).await;
+    let answers = join_all(entries.iter().map(|entry| fetch_page(client, entry))).await;
     let (mut pages, mut missing) = (Vec::new(), Vec::new());
     for (entry, page) in entries.iter().zip(answers) {
         match page {
@@ -64,8 +64,9 @@
     Ok(burn::Report::merge(&declarations, &pages, missing))
 }
 
-/// The page of an entry; what another process at its address says is not it.
-async fn page(client: &Client, entry: &Entry) -> Option<Page> {
+/// Fetches the page of an entry. A page from another process that has taken over
+/// the entry's address is ignored.
+async fn fetch_page(client: &Client, entry: &Entry) -> Option<Page> {
     let page = client.fetch_page(entry.web.as_deref()?).await?;
     (page.entry.as_str() == entry.name).then_some(page)
 }
--- a/programs/trefoilctl/src/cmd/diff.rs
+++ b/programs/trefoilctl/src/cmd/diff.rs
@@ -1,4 +1,5 @@
-//! `diff`: shows what a directory of declarations would change.
+//! `diff`: shows the changes that `apply` would make for a directory of
+//! declarations.
 
 use std::path::Path;
 
--- a/programs/trefoilctl/src/cmd/drain.rs
+++ b/programs/trefoilctl/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: has an entry keep no groups and take no callers.
+//! `drain`: drains an entry, which then keeps no groups and accepts no callers.
 
 use error_stack::Report;
 
--- a/programs/trefoilctl/src/cmd/fault.rs
+++ b/programs/trefoilctl/src/cmd/fault.rs
@@ -1,4 +1,4 @@
-//! `fault`: causes a fault in a stand-in group.
+//! `fault`: injects a fault into a stand-in group.
 
 use error_stack::Report;
 
--- a/programs/trefoilctl/src/cmd/members.rs
+++ b/programs/trefoilctl/src/cmd/members.rs
@@ -1,4 +1,4 @@
-//! `members`: shows or changes the members of control.
+//! `members`: shows or changes the members of the control quorum.
 
 use error_stack::Report;
 
--- a/programs/trefoilctl/src/cmd/path.rs
+++ b/programs/trefoilctl/src/cmd/path.rs
@@ -1,4 +1,5 @@
-//! Shows what became of a request, from logs alone.
+//! `path`: reconstructs the path of a request through the processes from their
+//! log files, without contacting a control member.
 
 use std::path::{Path, PathBuf};
 
@@ -14,7 +15,7 @@
         read(&mut logs, path)?;
     }
     let path = trace::Path::find(&logs, request)
-        .map_err(|lost| Report::new(Failure::RequestNotFound(lost)))?;
+        .map_err(|error| Report::new(Failure::RequestNotFound(error)))?;
     print!("{}", path.text());
     if logs.unread > 0 {
         eprintln!("{} lines are no JSON lines of a log and were passed over", logs.unread);
--- a/programs/trefoilctl/src/cmd/status.rs
+++ b/programs/trefoilctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows members, groups, entries and the last failovers.
+//! `status`: shows control members, groups, entries and the last failovers.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 use crate::failure::Failure;
 use crate::screen;
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_secs(1);
+/// Refresh interval of `--watch`.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Moves to the top left corner and clears what is below.
-const CLEAR: &str = "\x1b[H\x1b[J";
+/// ANSI escape sequence that moves the cursor to the top left corner and clears
+/// the screen below.
+const CLEAR_SCREEN: &str = "\x1b[H\x1b[J";
 
 /// Runs the command.
 pub async fn run(client: &Client, json: bool, watch: bool) -> Result<(), Report<Failure>> {
@@ -27,7 +28,7 @@
             Err(_) => String::new(),
         };
         if watch && !json {
-            print!("{CLEAR}");
+            print!("{CLEAR_SCREEN}");
         }
         if !watch {
             overview?;
@@ -35,6 +36,6 @@
             return Ok(());
         }
         println!("{text}");
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
--- a/programs/trefoilctl/src/failure.rs
+++ b/programs/trefoilctl/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the commands.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -6,70 +6,70 @@
 use burn::report::Alarm;
 use config::Problems;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// The declarations are wrong; nothing was changed.
+    /// The declarations are invalid; nothing was changed.
     Declarations(Problems),
-    /// No member's address was given.
+    /// No address of a control member was given.
     NoAddress,
     /// A log file could not be read.
     ReadFile {
-        /// The file.
+        /// Path of the log file.
         path: PathBuf,
     },
-    /// The logs tell nothing of a request.
+    /// The logs do not contain the request.
     RequestNotFound(trace::path::Lost),
-    /// No member answered.
+    /// No control member could serve the request.
     Unreachable {
-        /// Addresses that were tried.
+        /// Number of addresses that were tried.
         tried: usize,
     },
-    /// A change came in between.
+    /// The declarations changed since the version that the change is based on.
     Conflict {
-        /// The current version.
+        /// Current version of the declarations.
         version: u64,
     },
-    /// The member refused.
+    /// The control member rejected the request.
     Refused {
-        /// What it said.
+        /// Error text of the member's answer.
         text: String,
     },
-    /// The answer could not be read.
+    /// An answer could not be decoded, or a report could not be rendered.
     MalformedAnswer,
-    /// No entry gave what it counted.
+    /// No live entry returned its page of counters.
     NoPages {
-        /// Names of those that live.
+        /// Names of the live entries.
         entries: Vec<String>,
     },
-    /// The report could not be written.
+    /// The report file could not be written.
     WriteFile {
-        /// The file.
+        /// Path of the report file.
         path: PathBuf,
     },
     /// An error budget burns too fast.
     Alarm {
-        /// How urgent it is.
+        /// Urgency of the alarm.
         alarm: Alarm,
     },
-    /// Entries have not applied a change in time.
+    /// Some entries have not applied a change within the time limit.
     NotApplied {
-        /// Their names.
+        /// Names of these entries.
         entries: Vec<String>,
     },
 }
 
-const FAILED: u8 = 1;
-const MISUSED: u8 = 2;
-const BURNING: u8 = 3;
+const EXIT_FAILED: u8 = 1;
+const EXIT_MISUSE: u8 = 2;
+const EXIT_ALARM: u8 = 3;
 
 impl Failure {
     /// Exit code of the process.
     pub const fn exit_code(&self) -> u8 {
         match self {
-            Self::Alarm { .. } => BURNING,
-            Self::NoAddress => MISUSED,
-            _ => FAILED,
+            Self::Alarm { .. } => EXIT_ALARM,
+            Self::NoAddress => EXIT_MISUSE,
+            _ => EXIT_FAILED,
         }
     }
 }
@@ -80,7 +80,7 @@
             Self::Declarations(problems) => write!(f, "nothing was changed:\n{problems}"),
             Self::NoAddress => f.write_str("give --admin or set TREFOIL_ADMIN"),
             Self::ReadFile { path } => write!(f, "could not read {}", path.display()),
-            Self::RequestNotFound(lost) => write!(f, "{lost}"),
+            Self::RequestNotFound(error) => write!(f, "{error}"),
             Self::Unreachable { tried } => {
                 write!(f, "none of {tried} control members could serve; the outcome may be unknown")
             }
@@ -89,10 +89,10 @@
                 "conflict: the current version is {version}; see `trefoilctl diff` and apply again"
             ),
             Self::Refused { text } => write!(f, "refused: {text}"),
-            Self::MalformedAnswer => f.write_str("the member's answer could not be read"),
-            Self::NoPages { entries } if entries.is_empty() => f.write_str("no entry lives"),
+            Self::MalformedAnswer => f.write_str("could not decode the control member's answer"),
+            Self::NoPages { entries } if entries.is_empty() => f.write_str("no entry is alive"),
             Self::NoPages { entries } => {
-                write!(f, "no entry gave a page: {}", entries.join(", "))
+                write!(f, "no entry returned its counters: {}", entries.join(", "))
             }
             Self::WriteFile { path } => write!(f, "could not write {}", path.display()),
             Self::Alarm { alarm } => write!(f, "a {alarm} alarm stands"),
--- a/programs/trefoilctl/src/main.rs
+++ b/programs/trefoilctl/src/main.rs
@@ -1,7 +1,7 @@
-//! The operators' command line.
+//! Command line for operators.
 //!
-//! Exit codes: 0 when done, 1 when it failed or conflicts with another
-//! change, 2 when it was called wrongly, 3 when `burn --check` finds an alarm.
+//! Exit codes: 0 on success, 1 when the command failed or conflicts with another
+//! change, 2 for invalid arguments, 3 when `burn --check` finds an alarm.
 
 mod cli;
 mod client;
@@ -13,15 +13,15 @@
 
 use bpaf::ParseFailure;
 
-const MISUSED: u8 = 2;
+const EXIT_MISUSE: u8 = 2;
 
 fn main() -> ExitCode {
     let options = match cli::options().run_inner(bpaf::Args::current_args()) {
         Ok(options) => options,
-        Err(failure) => return explain(&failure),
+        Err(failure) => return show(&failure),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("a single-threaded runtime needs no more than the process");
+    let runtime = runtime.expect("a single-threaded runtime needs nothing beyond the process");
     match runtime.block_on(cmd::run(options)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
@@ -31,8 +31,8 @@
     }
 }
 
-fn explain(failure: &ParseFailure) -> ExitCode {
-    let misused = matches!(failure, ParseFailure::Stderr(_));
+fn show(failure: &ParseFailure) -> ExitCode {
+    let is_misuse = matches!(failure, ParseFailure::Stderr(_));
     failure.print_message(100);
-    if misused { ExitCode::from(MISUSED) } else { ExitCode::SUCCESS }
+    if is_misuse { ExitCode::from(EXIT_MISUSE) } else { ExitCode::SUCCESS }
 }
--- a/programs/trefoilctl/src/screen.rs
+++ b/programs/trefoilctl/src/screen.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Human-readable tables of the system's status.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -13,18 +13,18 @@
     table
 }
 
-fn known<T: ToString>(value: Option<T>) -> String {
+fn or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
 
-/// Everything.
+/// Renders the whole overview as text.
 pub fn render_overview(overview: &Overview) -> String {
     let head = format!(
         "version {}, index {}, term {}, leader {}",
         overview.version,
         overview.index,
         overview.term,
-        known(overview.leader.as_ref())
+        or_dash(overview.leader.as_ref())
     );
     let hint = if overview.leads { "" } else { " (told by a follower: no roles and lag)" };
     let parts = [
@@ -38,7 +38,7 @@
     parts.join("\n\n")
 }
 
-/// Members of control.
+/// Renders the table of control members.
 pub fn render_members(overview: &Overview) -> Table {
     let mut table = table(&["member", "leads", "votes", "link", "web"]);
     for member in &overview.members {
@@ -52,7 +52,7 @@
 fn groups(overview: &Overview) -> Table {
     let mut table = table(&["group", "primary", "term", "phase", "keepers (connections/slots)"]);
     for group in &overview.groups {
-        let (term, primary) = (group.term.to_string(), known(group.primary.as_ref()));
+        let (term, primary) = (group.term.to_string(), or_dash(group.primary.as_ref()));
         table.add_row([&group.name, &primary, &term, &group.phase, &keepers(group)]);
     }
     table
@@ -76,11 +76,11 @@
                 group.name.clone(),
                 server.name.clone(),
                 server.zone.clone(),
-                known(server.role),
-                known(server.term),
-                known(server.received),
-                known(server.applied),
-                known(server.lag),
+                or_dash(server.role),
+                or_dash(server.term),
+                or_dash(server.received),
+                or_dash(server.applied),
+                or_dash(server.lag),
                 note(server).to_owned(),
             ]);
         }
@@ -101,7 +101,7 @@
     let mut table = table(&["entry", "zone", "keeper", "web", "applied", "note"]);
     for entry in &overview.entries {
         let note = if entry.draining { "draining" } else { "" };
-        let (web, applied) = (known(entry.web.as_ref()), known(entry.applied));
+        let (web, applied) = (or_dash(entry.web.as_ref()), or_dash(entry.applied));
         table.add_row([&entry.name, &entry.zone, &entry.address, &web, &applied, note]);
     }
     table
@@ -111,22 +111,22 @@
     let mut table =
         table(&["failover", "term", "cause", "noticed", "fenced", "promoted", "established"]);
     for failover in &overview.failovers {
-        table.add_row(row(failover));
+        table.add_row(failover_row(failover));
     }
     table
 }
 
-fn row(failover: &Failover) -> [String; 7] {
+fn failover_row(failover: &Failover) -> [String; 7] {
     let began = failover.intended_ms;
     let since = |at: Option<u64>| Some(at?.saturating_sub(began?));
-    let ago = failover.noticed_ms_ago.or_else(|| since(Some(wall_ms())));
+    let ago = failover.noticed_ms_ago.or_else(|| since(Some(unix_time_ms())));
     let after = |millis: Option<u64>| {
         millis.map_or_else(|| "-".to_owned(), |millis| format!("+{millis} ms"))
     };
     [
         failover.group.clone(),
         failover.term.to_string(),
-        known(failover.cause.as_ref()),
+        or_dash(failover.cause.as_ref()),
         ago.map_or_else(|| "-".to_owned(), |millis| format!("{} s ago", millis / 1_000)),
         after(failover.fenced_after_ms.or_else(|| since(failover.chosen_ms))),
         after(failover.promoted_after_ms),
@@ -134,6 +134,6 @@
     ]
 }
 
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/programs/trefoilctl/tests/burn.rs
+++ b/programs/trefoilctl/tests/burn.rs
@@ -1,4 +1,4 @@
-//! The report on burn, from a member and entries of a few lines each.
+//! Runs `burn` against a minimal fake member and fake entries.
 
 use std::net::SocketAddr;
 use std::process::Output;
@@ -20,7 +20,8 @@
     address
 }
 
-/// An entry that counted some fast and some slow requests.
+/// Starts a fake entry whose page counts `fast` requests of 10 ms and `slow` ones
+/// of 500 ms; the objective is 100 ms.
 async fn entry(name: &str, fast: u64, slow: u64) -> SocketAddr {
     let declarations: Declarations = serde_json::from_str(DECLARED).unwrap();
     let (service, declared) = declarations.services.first_key_value().unwrap();
@@ -50,11 +51,11 @@
 #[tokio::test]
 async fn merges_entries_and_names_those_without_a_page() {
     let (one, two) = (entry("e1", 8, 0).await, entry("e2", 9, 0).await);
-    let stranger = entry("other", 100, 100).await;
+    let other_process = entry("other", 100, 100).await;
     let entries = json!([
         {"name": "e1", "web": one}, {"name": "e2", "web": two},
         {"name": "e3", "web": "127.0.0.1:9"}, {"name": "e4", "web": null},
-        {"name": "e5", "web": stranger},
+        {"name": "e5", "web": other_process},
     ]);
     let folder = tempfile::tempdir().unwrap();
     let html = folder.path().join("burn.html");
--- a/programs/trefoilctl/tests/cluster.rs
+++ b/programs/trefoilctl/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! The command line against all parts in one process.
+//! Runs the command line against a whole system in one process.
 
 use std::net::SocketAddr;
 
@@ -12,16 +12,17 @@
 
 const GROUP: &str = "entries-1";
 const REQUESTS: u64 = 20;
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Looks at the status before a failover counts as lost.
-const LOOKS: usize = 300;
+/// Status requests before the test stops waiting for a failover or an entry.
+const MAX_POLLS: usize = 300;
 
-/// Tries of what a slow machine may spoil: a leader that stays through a
-/// failover, a report before a killed entry's lease runs out.
-const TRIES: usize = 5;
+/// Attempts at steps that depend on timing and may fail on a slow machine: the
+/// control leader must stay the same throughout a failover, and a report must be
+/// made before a killed entry's lease expires.
+const MAX_ATTEMPTS: usize = 5;
 
-async fn ask<T: DeserializeOwned>(admin: SocketAddr, arguments: &[&str]) -> T {
+async fn run_json<T: DeserializeOwned>(admin: SocketAddr, arguments: &[&str]) -> T {
     let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_trefoilctl"));
     command.env_remove("TREFOIL_ADMIN").arg("--admin").arg(admin.to_string());
     let output = command.args(arguments).output().await.unwrap();
@@ -29,7 +30,7 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-async fn request(entry: SocketAddr) {
+async fn send_requests(entry: SocketAddr) {
     let mut config = tokio_postgres::Config::new();
     config.host(entry.ip().to_string()).port(entry.port());
     config.user(Scenario::Lakeshore.service()).dbname(GROUP);
@@ -42,70 +43,72 @@
     driver.await.unwrap().unwrap();
 }
 
-async fn lists(admin: SocketAddr, entry: &str) -> bool {
+async fn is_listed(admin: SocketAddr, entry: &str) -> bool {
     let overview = status(admin).await;
     overview.entries.iter().any(|known| known.name == entry && known.web.is_some())
 }
 
-/// A report made while the killed entry still counts as one that lives.
+/// Kills an entry and returns a report made before the entry's lease expired, so
+/// that the entry still counts as alive.
 async fn report_without(cluster: &Cluster, index: usize, name: &str) -> burn::Report {
     let admin = cluster.admins()[0];
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         cluster.kill_entry(index).await;
-        let report: burn::Report = ask(admin, &["burn", "--json"]).await;
+        let report: burn::Report = run_json(admin, &["burn", "--json"]).await;
         if !report.missing.is_empty() {
             return report;
         }
-        // its lease had run out before it was asked for
+        // The entry's lease expired before the report was requested.
         cluster.start_entry(index).await.unwrap();
-        for _ in 0..LOOKS {
-            if lists(admin, name).await {
+        for _ in 0..MAX_POLLS {
+            if is_listed(admin, name).await {
                 break;
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
-    panic!("{name} was gone before each of {TRIES} reports");
+    panic!("the lease of {name} expired before each of {MAX_ATTEMPTS} reports");
 }
 
 async fn status(admin: SocketAddr) -> Overview {
-    ask(admin, &["status", "--json"]).await
+    run_json(admin, &["status", "--json"]).await
 }
 
-/// A whole failover as the leader tells it; `None` where its phases went with
-/// another leader.
-async fn told(admin: SocketAddr, before: &Overview, term: u64) -> Option<Failover> {
-    for _ in 0..LOOKS {
+/// Waits for a complete failover after `term` and returns the leader's record;
+/// `None` if the leader changed, since a new leader has no times of the phases.
+async fn wait_for_failover(admin: SocketAddr, before: &Overview, term: u64) -> Option<Failover> {
+    for _ in 0..MAX_POLLS {
         let overview = status(admin).await;
         if overview.term != before.term {
             return None;
         }
-        let whole =
+        let is_complete =
             |f: &Failover| f.group == GROUP && f.term > term && f.established_after_ms.is_some();
-        if let Some(failover) = overview.failovers.into_iter().find(whole) {
+        if let Some(failover) = overview.failovers.into_iter().find(is_complete) {
             return Some(failover);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
-    panic!("no whole failover in {LOOKS} looks at {admin}");
+    panic!("no complete failover in {MAX_POLLS} status requests to {admin}");
 }
 
-/// Crashes a primary; gives the failover as each member tells it, and the old
-/// primary.
+/// Crashes a primary and checks that every member reports the same failover.
+/// Returns this failover and the old primary.
 async fn watch_failover(cluster: &Cluster) -> (Failover, Option<String>) {
-    'tries: for _ in 0..TRIES {
+    'attempts: for _ in 0..MAX_ATTEMPTS {
         let before = status(cluster.admins()[0]).await;
         let group = before.groups.iter().find(|group| group.name == GROUP).unwrap();
         if cluster.groups().fault(GROUP, standin::Fault::PrimaryCrash).await.is_err() {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         }
         let mut all = Vec::new();
-        // asked of each member, so that followers pass the question on
+        // Each member is asked, since the answer of a follower refers the client to
+        // the leader.
         for admin in cluster.admins() {
-            let Some(failover) = told(admin, &before, group.term).await else {
+            let Some(failover) = wait_for_failover(admin, &before, group.term).await else {
                 cluster.groups().fault(GROUP, standin::Fault::Heal).await.unwrap();
-                continue 'tries;
+                continue 'attempts;
             };
             all.push(failover);
         }
@@ -113,7 +116,7 @@
         assert!(all.iter().all(|failover| steps(failover) == steps(&all[0])), "{all:?}");
         return (all.swap_remove(0), group.primary.clone());
     }
-    panic!("no leader saw a whole failover in {TRIES} tries");
+    panic!("no leader observed a complete failover in {MAX_ATTEMPTS} attempts");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -122,7 +125,7 @@
     let settings = Settings { entries: 2, ..Settings::new(Scenario::Lakeshore, log) };
     let cluster = Cluster::start(settings).await.unwrap();
     for entry in cluster.entries().await {
-        request(entry).await;
+        send_requests(entry).await;
     }
 
     let (failover, old) = watch_failover(&cluster).await;
--- a/programs/trefoilctl/tests/commands.rs
+++ b/programs/trefoilctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line against members of a few lines each.
+//! Runs the command line against minimal fake members.
 
 use std::net::SocketAddr;
 use std::process::Output;
@@ -10,18 +10,19 @@
 use axum::{Json, Router};
 use serde_json::{Value, json};
 
-/// Answers that a member gives to changes, last first, and what it was asked.
+/// Fake member: its remaining answers to changes, last one first, and the change
+/// requests that it received.
 #[derive(Clone, Default)]
 struct Member {
     answers: Arc<Mutex<Vec<(u16, Value)>>>,
-    asked: Arc<Mutex<Vec<Value>>>,
+    received: Arc<Mutex<Vec<Value>>>,
 }
 
 async fn change(
     State(member): State<Member>,
     Json(body): Json<Value>,
 ) -> (StatusCode, Json<Value>) {
-    member.asked.lock().unwrap().push(body);
+    member.received.lock().unwrap().push(body);
     let (code, answer) = member.answers.lock().unwrap().pop().expect("an answer is left");
     (StatusCode::from_u16(code).unwrap(), Json(answer))
 }
@@ -65,9 +66,9 @@
     let (address, member) = start(&[lost, accepted]).await;
     let output = run(address, &["apply", "-f", &lakeshore(), "--wait"]).await;
     assert_eq!(output.status.code(), Some(0), "{output:?}");
-    let asked = member.asked.lock().unwrap();
-    assert_eq!((asked.len(), &asked[0]["base"]), (2, &json!(4)));
-    assert_eq!(asked[0], asked[1]);
+    let received = member.received.lock().unwrap();
+    assert_eq!((received.len(), &received[0]["base"]), (2, &json!(4)));
+    assert_eq!(received[0], received[1]);
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.contains("version 5 is in force at 2 entries"), "{text}");
 }
@@ -88,7 +89,7 @@
     let (address, member) = start(&[]).await;
     let output = run(address, &["apply", "-f", directory.path().to_str().unwrap()]).await;
     assert_eq!(output.status.code(), Some(1));
-    assert!(member.asked.lock().unwrap().is_empty());
+    assert!(member.received.lock().unwrap().is_empty());
     let text = String::from_utf8(output.stderr).unwrap();
     assert!(text.contains("a.toml:2: services.s.weight: a whole number of at least 1"), "{text}");
 }
@@ -108,8 +109,8 @@
     assert!(text.contains("+ groups.entries-1 = "), "{text}");
     let output = run(address, &["status"]).await;
     let text = String::from_utf8(output.stdout).unwrap();
-    for due in ["e1", "12", "+40 ms", "+95 ms"] {
-        assert!(text.contains(due), "{due}: {text}");
+    for expected in ["e1", "12", "+40 ms", "+95 ms"] {
+        assert!(text.contains(expected), "{expected}: {text}");
     }
 }
 
