--- a/programs/trefoilctl/tests/cluster.rs
+++ b/programs/trefoilctl/tests/cluster.rs
@@ -103,8 +103,8 @@
             continue;
         }
         let mut all = Vec::new();
-        // Each member is asked, since the answer of a follower refers the client to
-        // the leader.
+        // Asking each member also covers followers, whose answer refers the client
+        // to the leader.
         for admin in cluster.admins() {
             let Some(failover) = wait_for_failover(admin, &before, group.term).await else {
                 cluster.groups().fault(GROUP, standin::Fault::Heal).await.unwrap();
