--- a/programs/trefoil-slope/src/cmd/beat.rs
+++ b/programs/trefoil-slope/src/cmd/beat.rs
@@ -1,4 +1,5 @@
-//! Cost of heartbeats: what a member does for one round of all its entries.
+//! Measures the cost of heartbeats: the work of a member for one round, in which
+//! each of its entries sends one heartbeat.
 
 use base::prelude::*;
 use control::{Event, Leader};
@@ -38,7 +39,7 @@
             std::hint::black_box(confirm.encode_to_vec());
         }
     });
-    let state = size::state(Size { entries, ..Size::default() });
+    let state = size::build_state(Size { entries, ..Size::default() });
     let mut leader = Leader::new(Instant::ZERO);
     let names: Vec<Name> = state.entries.keys().cloned().collect();
     let mut out = Vec::new();
--- a/programs/trefoilctl/src/cmd.rs
+++ b/programs/trefoilctl/src/cmd.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! Commands, one module each.
 
 mod apply;
 mod burn;
@@ -16,19 +16,19 @@
 use crate::client::Client;
 use crate::failure::Failure;
 
-/// Runs a command.
+/// Runs the command given in `options`.
 pub async fn run(options: Options) -> Result<(), Report<Failure>> {
-    let admin: Vec<_> = options.admin.into_iter().flat_map(|some| some.0).collect();
+    let admin: Vec<_> = options.admin.into_iter().flat_map(|addresses| addresses.0).collect();
     let client = || Client::new(admin.clone());
     match options.command {
         Command::Apply { files, wait, change, base } => {
-            apply::run(&client()?, &files, apply::Wish { wait, change, base }).await
+            apply::run(&client()?, &files, apply::Options { wait, change, base }).await
         }
         Command::Diff { files } => diff::run(&client()?, &files).await,
         Command::Get => get::run(&client()?).await,
         Command::Status { json, watch } => status::run(&client()?, json, watch).await,
         Command::Burn { json, check, html } => {
-            burn::run(&client()?, burn::Wish { json, check, html }).await
+            burn::run(&client()?, burn::Options { json, check, html }).await
         }
         Command::Members { change } => members::run(&client()?, change).await,
         Command::Drain { off, entry } => drain::run(&client()?, entry, !off).await,
--- a/programs/trefoilctl/src/cmd/burn.rs
+++ b/programs/trefoilctl/src/cmd/burn.rs
@@ -1,4 +1,4 @@
-//! `burn`: shows what is left of error budgets, over all entries.
+//! `burn`: shows the remaining error budgets, summed over all entries.
 
 use std::path::PathBuf;
 
@@ -13,59 +13,60 @@
 use crate::client::Client;
 use crate::failure::Failure;
 
-/// How the report is wanted.
+/// Options of `burn`.
 #[derive(Debug)]
-pub struct Wish {
-    /// As JSON.
+pub struct Options {
+    /// Whether to print the report as JSON.
     pub json: bool,
-    /// Whether an alarm is a failure.
+    /// Whether an alarm makes the command fail.
     pub check: bool,
-    /// Where to write a page with plots.
+    /// File for a copy of the report as an HTML page with plots.
     pub html: Option<PathBuf>,
 }
 
 /// Runs the command.
-pub async fn run(client: &Client, wish: Wish) -> Result<(), Report<Failure>> {
-    let report = ask(client).await?;
-    if let Some(path) = wish.html {
-        let page = burn::html::render(&report).change_context(Failure::Answer)?;
-        std::fs::write(&path, page).change_context(Failure::Unwritten { path })?;
+pub async fn run(client: &Client, options: Options) -> Result<(), Report<Failure>> {
+    let report = fetch_report(client).await?;
+    if let Some(path) = options.html {
+        let page = burn::html::render(&report).change_context(Failure::MalformedAnswer)?;
+        std::fs::write(&path, page).change_context(Failure::WriteFile { path })?;
     }
-    if wish.json {
-        println!("{}", serde_json::to_string(&report).change_context(Failure::Answer)?);
+    if options.json {
+        println!("{}", serde_json::to_string(&report).change_context(Failure::MalformedAnswer)?);
     } else {
         print!("{}", text::render(&report));
     }
     let alarm = report.alarm();
-    if wish.check && alarm > Alarm::None {
-        return Err(Report::new(Failure::Burning { alarm }));
+    if options.check && alarm > Alarm::None {
+        return Err(Report::new(Failure::Alarm { alarm }));
     }
     Ok(())
 }
 
-/// Asks all entries that live, at the same time.
-async fn ask(client: &Client) -> Result<burn::Report, Report<Failure>> {
-    let current = client.config().await?;
+/// Fetches the counters of all live entries concurrently and merges them.
+async fn fetch_report(client: &Client) -> Result<burn::Report, Report<Failure>> {
+    let current = client.fetch_config().await?;
     let declarations: Declarations =
-        serde_json::from_str(&current.content).change_context(Failure::Answer)?;
-    let entries = client.status().await?.entries;
-    let answers = join_all(entries.iter().map(|entry| page(client, entry))).await;
+        serde_json::from_str(&current.content).change_context(Failure::MalformedAnswer)?;
+    let entries = client.fetch_status().await?.entries;
+    let answers = join_all(entries.iter().map(|entry| fetch_page(client, entry))).await;
     let (mut pages, mut missing) = (Vec::new(), Vec::new());
     for (entry, page) in entries.iter().zip(answers) {
         match page {
             Some(page) => pages.push(page),
-            None => missing.push(Name::new(&entry.name).change_context(Failure::Answer)?),
+            None => missing.push(Name::new(&entry.name).change_context(Failure::MalformedAnswer)?),
         }
     }
     if pages.is_empty() {
         let entries = entries.into_iter().map(|entry| entry.name).collect();
-        return Err(Report::new(Failure::Uncounted { entries }));
+        return Err(Report::new(Failure::NoPages { entries }));
     }
     Ok(burn::Report::merge(&declarations, &pages, missing))
 }
 
-/// The page of an entry; what another process at its address says is not it.
-async fn page(client: &Client, entry: &Entry) -> Option<Page> {
-    let page = client.page(entry.web.as_deref()?).await?;
+/// Fetches the page of an entry. A page from another process that has taken over
+/// the entry's address is ignored.
+async fn fetch_page(client: &Client, entry: &Entry) -> Option<Page> {
+    let page = client.fetch_page(entry.web.as_deref()?).await?;
     (page.entry.as_str() == entry.name).then_some(page)
 }
