--- a/components/member/src/entry.rs
+++ b/components/member/src/entry.rs
@@ -59,7 +59,7 @@
 ) -> Result<(), Report<Failure>> {
     while let Some(up) = reader.next::<Up>().await? {
         let input = match up.body {
-            Some(up::Body::Heartbeat(beat)) => Input::Heartbeat { key, beat },
+            Some(up::Body::Heartbeat(heartbeat)) => Input::Heartbeat { key, heartbeat },
             Some(up::Body::Symptom(symptom)) => Input::Symptom { key, symptom },
             Some(up::Body::Leave(_)) => Input::Leave { key },
             Some(up::Body::Seal(seal)) => Input::Seal { key, seal },
--- a/components/member/src/follower.rs
+++ b/components/member/src/follower.rs
@@ -48,7 +48,7 @@
 
 impl Core {
     /// Registers an entry as a follower and sends it the missing part of the log.
-    pub(crate) fn open(
+    pub(crate) fn add_follower(
         &mut self,
         follow: Follow,
         sender: mpsc::Sender<Down>,
@@ -184,23 +184,23 @@
 
     /// Starts the read that confirms a heartbeat. The leader receives the heartbeat in
     /// the same message as the read.
-    pub(crate) fn on_heartbeat(&mut self, key: Key<Follower>, beat: wire::control::Heartbeat) {
+    pub(crate) fn on_heartbeat(&mut self, key: Key<Follower>, received: wire::control::Heartbeat) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         let returned = std::mem::take(&mut follower.returned);
         let heartbeat = Heartbeat {
             join: Some(follower.join.clone()),
-            applied: beat.applied,
-            returned: beat.returned,
+            applied: received.applied,
+            returned: received.returned,
             symptoms: follower.symptoms.clone(),
             seals: follower.seals.clone(),
         };
-        self.entry_indexes.insert(follower.join.entry.clone(), beat.applied);
+        self.entry_indexes.insert(follower.join.entry.clone(), received.applied);
         for heartbeat in returned {
             let note = heartbeat.encode_to_vec().into();
             self.read(Read::ReturnedLeases { key, heartbeat }, Some(note));
         }
         let note = heartbeat.encode_to_vec().into();
-        self.read(Read::Heartbeat { key, sequence: beat.sequence, heartbeat }, Some(note));
+        self.read(Read::Heartbeat { key, sequence: received.sequence, heartbeat }, Some(note));
     }
 
     /// Keeps the returned leases of an unconfirmed heartbeat, to be sent with the next
--- a/components/member/src/input.rs
+++ b/components/member/src/input.rs
@@ -34,7 +34,7 @@
     /// An entry begins to follow the log.
     Follow { follow: Follow, sender: mpsc::Sender<Down>, reply: oneshot::Sender<Key<Follower>> },
     /// A heartbeat of an entry.
-    Heartbeat { key: Key<Follower>, beat: Heartbeat },
+    Heartbeat { key: Key<Follower>, heartbeat: Heartbeat },
     /// A keeper reported a symptom of a backend server.
     Symptom { key: Key<Follower>, symptom: Symptom },
     /// A keeper sealed a group.
