--- a/components/member/tests/follow.rs
+++ b/components/member/tests/follow.rs
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn sends_commands_in_order_and_confirms_beats() {
+async fn sends_commands_in_order_and_confirms_heartbeats() {
     let cluster = Cluster::start().await;
     let leader = cluster.leader().await;
     let (status, _) = cluster.change(leader, "one", 0, &json!({})).await;
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn shows_how_far_the_others_are() {
+async fn shows_the_progress_of_the_other_members() {
     let cluster = Cluster::start().await;
     let leader = cluster.leader().await;
     let (status, answer) = cluster.change(leader, "one", 0, &json!({})).await;
--- a/components/member/tests/roster.rs
+++ b/components/member/tests/roster.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_silent_voter_stays_while_fewer_would_bear_no_loss() {
+fn a_silent_voter_stays_if_its_removal_lowers_the_tolerance() {
     assert_eq!(next(1, &members(3, 0), &[(2, VOTER_TIMEOUT * 9)]), None);
     assert_eq!(next(2, &members(5, 0), &[(2, VOTER_TIMEOUT * 9)]), None);
 }
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn a_silent_voter_gives_way_to_a_newcomer_that_learns() {
+fn a_silent_voter_is_removed_once_a_live_learner_can_replace_it() {
     assert_eq!(next(1, &members(3, 1), &[(2, VOTER_TIMEOUT)]), Some(Change::Remove(2)));
     let silences = [(2, VOTER_TIMEOUT), (4, VOTER_TIMEOUT)];
-    assert_eq!(next(1, &members(3, 1), &silences), None, "the newcomer is silent too");
+    assert_eq!(next(1, &members(3, 1), &silences), None, "the learner is silent too");
 }
 
 #[test]
--- a/components/member/tests/seeds.rs
+++ b/components/member/tests/seeds.rs
@@ -100,7 +100,7 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("edition {number} was not taken");
+    panic!("edition {number} was not accepted");
 }
 
 /// Waits until a member confirms that an edition is current.
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn seeds_found_a_membership_that_others_join_also_with_an_empty_disk() {
+async fn seeds_bootstrap_a_membership_that_others_join_even_with_an_empty_disk() {
     let data = tempfile::tempdir().unwrap();
     let (seeds, mut members) = start_four(data.path()).await;
     replace(&members[0].api, 3).await;
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_member_that_stands_by_votes_once_a_voter_is_gone() {
+async fn a_learner_becomes_a_voter_once_a_voter_is_lost() {
     let data = tempfile::tempdir().unwrap();
     let (_seeds, mut members) = start_four(data.path()).await;
     replace(&members[0].api, 1).await;
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_seed_that_stands_by_is_no_member() {
+async fn a_standby_seed_is_not_a_member() {
     let data = tempfile::tempdir().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let standby = listener.local_addr().unwrap();
