--- a/components/quorum/src/follower.rs
+++ b/components/quorum/src/follower.rs
@@ -11,8 +11,11 @@
 /// Snapshot of which some pieces have arrived.
 #[derive(Debug)]
 pub(crate) struct Incoming {
+    /// Term of the leader that sends the snapshot.
     term: u64,
+    /// Index of the snapshot.
     index: u64,
+    /// Pieces that have arrived, in order.
     bytes: BytesMut,
 }
 
--- a/components/quorum/src/leader.rs
+++ b/components/quorum/src/leader.rs
@@ -170,8 +170,8 @@
         index
     }
 
-    /// Sends a member the entries or the snapshot that it lacks. With `heartbeat`, a message is
-    /// also sent if the member lacks nothing.
+    /// Sends a member the entries that it lacks. With `heartbeat`, a message is also sent if the
+    /// member lacks nothing, and a member that needs a snapshot gets a piece of it.
     pub(crate) fn replicate(&mut self, to: u64, heartbeat: bool) {
         let last = self.log.last_index();
         let commit = self.commit;
@@ -218,7 +218,8 @@
         let round = lead.rounds.current();
         let Some(peer) = lead.peers.get(&to) else { return };
         let Some((_, offset)) = peer.snapshot else { return };
-        let matched = Append { round, ..Append::default() };
+        // an append at index zero always matches, so the member answers the heartbeat round
+        let heartbeat = Append { round, ..Append::default() };
         let snapshot = self.log.snapshot();
         let length = snapshot.data.len() as u64;
         let start = offset.min(length) as usize;
@@ -232,7 +233,7 @@
             bytes: snapshot.data.slice(start..end),
         };
         self.send(to, Body::Install(install));
-        self.send(to, Body::Append(matched));
+        self.send(to, Body::Append(heartbeat));
     }
 
     pub(crate) fn on_appended(&mut self, now: Instant, from: u64, appended: Appended) {
@@ -317,7 +318,8 @@
         }
     }
 
-    /// Handles a proposal of this member: accepts it at the leader, forwards it elsewhere.
+    /// Handles a proposal of this member: accepts the proposal if this member leads, forwards it
+    /// to a known leader, and drops it otherwise.
     pub(crate) fn propose(&mut self, now: Instant, token: u64, body: propose::Body) {
         let own = self.settings.id;
         match self.leader {
@@ -392,9 +394,9 @@
     pub(crate) fn advance_transfer(&mut self) {
         let last = self.log.last_index();
         let Role::Leader(lead) = &self.role else { return };
-        let Some((next, _)) = lead.transfer else { return };
-        if lead.peers.get(&next).is_some_and(|peer| peer.matched == last) {
-            self.send(next, Body::Campaign(Campaign {}));
+        let Some((target, _)) = lead.transfer else { return };
+        if lead.peers.get(&target).is_some_and(|peer| peer.matched == last) {
+            self.send(target, Body::Campaign(Campaign {}));
         }
     }
 }
--- a/components/quorum/src/lib.rs
+++ b/components/quorum/src/lib.rs
@@ -11,7 +11,7 @@
 //!   order relative to the writes.
 //! - After a failed write the replica must not be used any more.
 //! - [`Event::Tick`] is passed about every [`TICK_INTERVAL`].
-//! - The id of a data folder is drawn at random when the folder is created. A
+//! - The id of a member is drawn at random when its data folder is created. A
 //!   member that lost its disk thus returns under a new id, never under the old id
 //!   without the vote that it gave.
 //! - The token of a proposal or read is never reused, not even after a restart
@@ -67,7 +67,7 @@
 /// Default maximum number of entries in one message.
 pub const BATCH_ENTRIES: usize = 512;
 
-/// Number of unacknowledged entries to one member above which a leader sends no more.
+/// Number of unacknowledged entries to one member from which on a leader sends no more.
 pub const WINDOW_ENTRIES: u64 = 4_096;
 
 /// Default length of a piece of a snapshot, in bytes.
--- a/components/quorum/src/membership.rs
+++ b/components/quorum/src/membership.rs
@@ -100,10 +100,10 @@
     }
 
     fn append_members(&mut self, origin: u64, token: u64, members: Members) {
-        let dropped = self.peers();
+        let previous_peers = self.peers();
         self.append(origin, token, Some(entry::Body::Members(members)));
         // removed members get the entry too, so that they learn of their removal
-        for id in dropped {
+        for id in previous_peers {
             self.replicate(id, false);
         }
         self.sync_peers();
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Resigns as a removed leader: the voter with the longest matching log campaigns at once.
+    /// Resigns as a removed leader. The voter with the longest matching log is asked to campaign
+    /// at once, if its log is complete.
     fn resign(&mut self, now: Instant) {
         self.transfer(now);
         self.step_down(now, self.hard.term, None);
--- a/components/quorum/src/read.rs
+++ b/components/quorum/src/read.rs
@@ -60,8 +60,9 @@
 }
 
 impl PendingReads {
-    pub(crate) fn new(first_batch: u64) -> Self {
-        Self { batch: first_batch, sent: Vec::new(), sent_at: Instant::ZERO, waiting: Vec::new() }
+    /// Creates an empty list of reads, whose batches are numbered after `start_batch`.
+    pub(crate) fn new(start_batch: u64) -> Self {
+        Self { batch: start_batch, sent: Vec::new(), sent_at: Instant::ZERO, waiting: Vec::new() }
     }
 
     /// Removes all reads and returns their tokens.
--- a/components/quorum/src/replica.rs
+++ b/components/quorum/src/replica.rs
@@ -59,7 +59,9 @@
     /// Creates a follower from the state that the disk held.
     pub fn new(now: Instant, settings: Settings, stored: Stored) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
-        let first_batch = rng.random::<u64>() >> 1;
+        // batches are counted up from a random number, so that a late answer to a batch from
+        // before a restart matches none of them
+        let start_batch = rng.random::<u64>() >> 1;
         let log = Log::new(stored.snapshot, stored.entries);
         let commit = log.snapshot().index;
         let mut replica = Self {
@@ -77,7 +79,7 @@
             votes_requested_at: now,
             ticked_at: now,
             proposals: BTreeSet::new(),
-            pending_reads: PendingReads::new(first_batch),
+            pending_reads: PendingReads::new(start_batch),
             incoming: None,
             out: Vec::new(),
             reported_members: Members::default(),
