--- a/components/quorum/tests/fuzz/main.rs
+++ b/components/quorum/tests/fuzz/main.rs
@@ -81,12 +81,12 @@
 const SAFETY_FAILURES: [&str; 4] = ["changed", "two leaders", "differs", "past a gap"];
 
 #[test]
-fn finds_answers_before_the_disk() {
+fn finds_messages_sent_before_the_sync() {
     assert_detected(Flaw::Unsynced, &SAFETY_FAILURES);
 }
 
 #[test]
-fn finds_learners_that_count() {
+fn finds_learners_counted_towards_a_quorum() {
     assert_detected(Flaw::Learner, &SAFETY_FAILURES);
 }
 
--- a/components/quorum/tests/fuzz/schedule.rs
+++ b/components/quorum/tests/fuzz/schedule.rs
@@ -292,8 +292,9 @@
     assert_eq!(world.leaders(), [leader], "a member that returned deposed the leader");
 }
 
-/// Ends all faults and checks that a proposal and a read succeed, that every read is
-/// answered, and that every member has all committed entries, if a quorum of disks is left.
+/// Ends partitions, crashes, message loss and duplication; long message delays and clocks of
+/// different rates remain. If a quorum of disks is left, checks that a proposal and a read
+/// succeed, that every read is answered, and that every member has all committed entries.
 fn settle(world: &mut World) {
     world.split(BTreeMap::new());
     (world.loss, world.copies) = (0, 0);
