--- a/components/config/src/files.rs
+++ b/components/config/src/files.rs
@@ -2,10 +2,12 @@
 //!
 //! Each file may hold `[groups.NAME]`, `[services.NAME]` and
 //! `[selectors.NAME]`. The keys are those of [`crate::model`]; times are whole
-//! milliseconds under keys that end in `_ms`. The files are read in the order of
-//! their names and merged; each name may be declared in one file only. A problem
-//! in any file makes the whole directory invalid, and every problem is reported
-//! with its file, line and key.
+//! milliseconds under keys that end in `_ms`. Databases can't be declared in files:
+//! `[databases.NAME]` is parsed but left out. The files are read in the order of
+//! their names and merged; each group, service or selector may be declared in one
+//! file only. A problem in any file makes the whole directory invalid. Each problem
+//! is reported with its file, line and key as far as they are known; the rules of
+//! [`crate::check`] are checked only if all files can be parsed and merged.
 
 use std::fmt;
 use std::ops::Range;
@@ -104,7 +106,8 @@
 /// Reads, merges and validates all files of a directory.
 ///
 /// # Errors
-/// All problems of the directory.
+/// The problems of reading, parsing and merging the files; if there are none, all
+/// rules that the merged declarations violate.
 pub fn read(directory: &Path) -> Result<Declarations, Problems> {
     let mut problems = Vec::new();
     let files = read_files(directory, &mut problems);
@@ -273,8 +276,8 @@
     }
 }
 
-/// Makes the diagnostic of a violation, at the file that holds the longest part of the
-/// violation's path. A violation without a path concerns the directory.
+/// Makes the diagnostic of a violation, at the file that holds the longest prefix of
+/// the violation's path. A violation without a path concerns the directory.
 fn locate(files: &[File], directory: &Path, violation: Violation) -> Diagnostic {
     let Violation::Value { path, .. } = &violation else {
         let problem = Problem::Violation(violation);
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -6,8 +6,8 @@
 //! - [`text`]: the canonical text of declarations.
 //! - [`files`]: reading declarations from a directory of TOML files.
 //! - [`mod@diff`]: the differences between two configurations.
-//! - [`patch`]: the declarations that a change replaces, as the control log carries
-//!   them.
+//! - [`patch`]: the declarations that a change sets and removes, as the control log
+//!   carries them.
 //! - [`policy`]: queries of the data path: access, limits, and rules for requests.
 
 pub mod check;
--- a/components/config/src/model.rs
+++ b/components/config/src/model.rs
@@ -1,7 +1,7 @@
 //! The declarations as types.
 //!
 //! Operators write declarations as TOML. The control log carries them as their
-//! canonical text, which is JSON with sorted keys.
+//! canonical text, which is JSON (see [`crate::text`]).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,7 +25,8 @@
     /// Selectors, by name.
     #[serde(default)]
     pub selectors: BTreeMap<Name, Selector>,
-    /// Databases that callers of plain statements connect to, by name.
+    /// Databases, by name. Callers that use another protocol than that of PostgreSQL
+    /// connect to a database.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub databases: BTreeMap<Name, Database>,
 }
@@ -57,15 +58,15 @@
     *count == 0
 }
 
-/// A database that callers of plain statements connect to by name. The callers
-/// belong to a service of the same name.
+/// A database that callers connect to by name if they use another protocol than
+/// that of PostgreSQL. The callers belong to a service of the same name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Database {
     /// Group that holds the database.
     pub group: Name,
     /// Greatest age of the data that a read may return, in milliseconds; zero if
-    /// reads accept no age.
+    /// reads must include every write acknowledged before they arrived.
     #[serde(default)]
     pub age_ms: u64,
     /// Priority under contention; zero is the highest.
@@ -194,7 +195,8 @@
     /// The request may write and runs at most once.
     #[default]
     Write,
-    /// The request may write and may be retried after the first attempt has ended.
+    /// The request may write, and may be retried once the previous attempt is known
+    /// to have ended.
     Idempotent,
     /// The request only reads.
     Read,
@@ -207,7 +209,7 @@
     /// Class of the requests of this kind.
     pub class: Class,
     /// Greatest age of the data that a read may return, in milliseconds; zero if
-    /// the read accepts no age.
+    /// the read must include every write acknowledged before it arrived.
     #[serde(default)]
     pub age_ms: u64,
     /// Time that a read may wait for a replica to become recent enough, in
--- a/components/config/src/patch.rs
+++ b/components/config/src/patch.rs
@@ -13,7 +13,8 @@
 use crate::check::Violation;
 use crate::model::{Declarations, Group, Selector, Service};
 
-/// Declarations to set and to remove.
+/// Groups, services and selectors to set and to remove. A patch never changes
+/// databases.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
@@ -71,7 +72,7 @@
 }
 
 impl Patch {
-    /// The patch that turns `from` into `to`.
+    /// The patch that turns the groups, services and selectors of `from` into those of `to`.
     pub fn between(from: &Declarations, to: &Declarations) -> Self {
         Self {
             groups: Delta::between(&from.groups, &to.groups),
--- a/components/config/src/policy.rs
+++ b/components/config/src/policy.rs
@@ -17,8 +17,8 @@
     pub kind: Option<Name>,
     /// Class of the request.
     pub class: Class,
-    /// Greatest age of the data that a read may return; zero if the read accepts no
-    /// age.
+    /// Greatest age of the data that a read may return; zero if the read must include
+    /// every write acknowledged before it arrived.
     pub age: Duration,
     /// Time that a read may wait for a replica to become recent enough.
     pub patience: Duration,
--- a/components/config/src/text.rs
+++ b/components/config/src/text.rs
@@ -1,5 +1,7 @@
-//! The canonical text of declarations, as the control log carries it: JSON with
-//! sorted keys and explicit defaults.
+//! The canonical text of declarations, as the control log carries it: JSON whose
+//! declarations are sorted by name, and whose fields are in the order in which the
+//! types of [`crate::model`] define them. Fields with a default value are written
+//! out, except for `databases`, and `acknowledges` and `connections` of a group.
 
 use crate::check::Violation;
 use crate::model::Declarations;
