--- a/components/route/src/lib.rs
+++ b/components/route/src/lib.rs
@@ -12,8 +12,8 @@
 /// Maximum number of samples in a [`Ring`].
 pub const MAX_SAMPLES: usize = 128;
 
-/// Default time between two samples of a [`Ring`]. Denser samples are
-/// thinned out, so that frequent ones don't push out older ones.
+/// Default time between two samples of a [`Ring`]. Denser samples are thinned out, so
+/// that frequent samples don't push out older ones.
 pub const MIN_SPACING: Duration = Duration::from_millis(5);
 
 /// Log position of a primary that a majority confirmed as the current primary.
--- a/components/telemetry/src/budget.rs
+++ b/components/telemetry/src/budget.rs
@@ -6,7 +6,7 @@
 
 use slog::{Drain, Level, OwnedKVList, Record, b, record};
 
-/// Number of records of each severity that are logged per second.
+/// Maximum number of records of each counted severity that are logged per second.
 pub const RECORDS_PER_SECOND: u32 = 100;
 
 /// Time window in which records are counted.
@@ -21,7 +21,7 @@
 }
 
 /// Number of severities that are counted separately, so that a flood of one doesn't
-/// suppress the others.
+/// suppress the others: errors, warnings, and all lower severities together.
 const SEVERITIES: usize = 3;
 
 /// Drain that passes a limited number of records to another drain, and drops and
@@ -39,7 +39,7 @@
     }
 
     /// Whether a record may be logged at `now`, and the number of records dropped in the
-    /// previous window if this record is the first of a new one.
+    /// previous window if this record is the first of a new window, else zero.
     fn admit(&self, now: Instant, level: Level) -> (bool, u64) {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let has_ended = window.began.is_none_or(|began| now.duration_since(began) >= WINDOW);
--- a/components/telemetry/src/event.rs
+++ b/components/telemetry/src/event.rs
@@ -202,7 +202,7 @@
     primary: Option<&'a Name> = "primary",
     /// Term that control has intended or established.
     term: u64 = "term",
-    /// The keeper's lease on the group.
+    /// State of the keeper's lease on the group.
     lease: &'static str = "lease",
 }
 
--- a/components/trace/src/clock.rs
+++ b/components/trace/src/clock.rs
@@ -20,8 +20,8 @@
     offsets: BTreeMap<Key<Source>, i64>,
 }
 
-/// Least time from a line of the first process to a line of the second process that
-/// was written because of the first line, in milliseconds.
+/// Least delay for each pair of processes, in milliseconds: from a line of the first
+/// process to a line of the second process that was written because of the first line.
 type Delays = HashMap<(Key<Source>, Key<Source>), i64>;
 
 impl Clocks {
--- a/components/trace/src/path.rs
+++ b/components/trace/src/path.rs
@@ -30,7 +30,9 @@
 
 impl fmt::Display for FindError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no line holds this id: it was done in time, or its line was left out")
+        f.write_str(
+            "no line holds this request id: the request was done in time, or its line was left out",
+        )
     }
 }
 
@@ -67,9 +69,9 @@
 }
 
 impl<'a> Path<'a> {
-    /// Finds the lines of a request, and the events at that time: the events of its
-    /// group in all processes, and all other events of the processes that handled the
-    /// request.
+    /// Finds the lines of a request, and the other events around that time: in all
+    /// processes the events of the request's group, and in the processes that handled
+    /// the request also the events that concern no group.
     ///
     /// # Errors
     /// [`FindError::NotFound`] if no line holds the id of the request.
