--- a/components/journal/src/frame.rs
+++ b/components/journal/src/frame.rs
@@ -74,7 +74,7 @@
 
 /// Whether a valid frame with a sequence higher than `sequence` begins after an
 /// offset.
-pub(crate) fn any_after(bytes: &[u8], offset: usize, sequence: u64) -> bool {
+pub(crate) fn has_valid_frame_after(bytes: &[u8], offset: usize, sequence: u64) -> bool {
     let starts = (offset + 1..bytes.len()).filter(|at| bytes[*at..].starts_with(&MAGIC));
     starts.filter_map(|at| decode(bytes, at)).any(|frame| frame.sequence > sequence)
 }
--- a/components/journal/src/open.rs
+++ b/components/journal/src/open.rs
@@ -133,7 +133,7 @@
             let frame = frame::decode(&bytes, offset).filter(|frame| is_next(frame.sequence));
             let Some(frame) = frame else {
                 let last = self.sequence.unwrap_or(0);
-                if !newest || frame::any_after(&bytes, offset, last) {
+                if !newest || frame::has_valid_frame_after(&bytes, offset, last) {
                     let corrupt = Failure::Corrupt { file: name, offset: offset as u64 };
                     return Err(Report::new(corrupt));
                 }
--- a/components/member/src/link.rs
+++ b/components/member/src/link.rs
@@ -46,9 +46,9 @@
     }
 
     pub(crate) fn hello(&self) -> Hello {
-        let (fresh, asks) =
+        let (fresh, wants_to_join) =
             (self.fresh.load(Ordering::Acquire), self.wants_to_join.load(Ordering::Acquire));
-        Hello { member: Some(self.own.clone()), fresh, asks, confirms: true }
+        Hello { member: Some(self.own.clone()), fresh, wants_to_join, confirms: true }
     }
 }
 
@@ -98,7 +98,7 @@
     writer.send(&endpoint.hello()).await?;
     let Some(member) = hello.member else { return Err(Report::new(Failure::Malformed)) };
     let id = member.id;
-    drop(core.send(Input::Hello { member, wants_to_join: hello.asks }).await);
+    drop(core.send(Input::Hello { member, wants_to_join: hello.wants_to_join }).await);
     let mut last_confirm = Instant::now();
     let mut unconfirmed = false;
     loop {
--- a/components/wire/src/quorum.rs
+++ b/components/wire/src/quorum.rs
@@ -20,7 +20,7 @@
     pub fresh: bool,
     /// Whether the sender knows no leader and asks to become a member.
     #[prost(bool, tag = "3")]
-    pub asks: bool,
+    pub wants_to_join: bool,
     /// Whether the sender confirms received messages, by an empty `Hello` from time to
     /// time.
     #[prost(bool, tag = "4")]
