--- a/components/backend/src/probe.rs
+++ b/components/backend/src/probe.rs
@@ -36,9 +36,10 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Status, Report<Failure>>> + Send;
 
-    /// Fences the server at `term`, without a primary: once the server has answered,
-    /// it accepts no writes and replicates no records of a lower term. Idempotent; a
-    /// server in a higher term is unchanged, and the returned status shows that term.
+    /// Fences the server at `term`, in which it has no primary yet: once the server has
+    /// answered, it accepts no writes and replicates no records of a lower term.
+    /// Idempotent; a server in a higher term is unchanged, and the returned status shows
+    /// that term.
     fn fence(&mut self, term: Term)
     -> impl Future<Output = Result<Status, Report<Failure>>> + Send;
 
--- a/components/backend/src/sql.rs
+++ b/components/backend/src/sql.rs
@@ -23,7 +23,7 @@
     "version",
 ];
 
-/// User name of probes, for which servers reserve connections.
+/// User and database name of probes; servers reserve connections for this user.
 pub const USER: &str = "trefoil_probe";
 
 /// Time, in addition to the wait of a request, after which a server counts as
--- a/components/backend/src/unfenced.rs
+++ b/components/backend/src/unfenced.rs
@@ -1,7 +1,8 @@
 //! Access to the servers of unfenced groups.
 //!
-//! These servers acknowledge commits by themselves and can't be fenced; a service
-//! outside of the system promotes them. These traits hide the protocols of both.
+//! Servers of such groups acknowledge commits by themselves and can't be fenced; a
+//! service outside of the system promotes them. The traits of this module are
+//! independent of the protocols of both.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -35,6 +36,7 @@
     pub server: Name,
     /// Name of the control member that gives the order.
     pub holder: Name,
-    /// Fencing token, higher for each later holder.
+    /// Fencing token, higher for each later holder, by which the promoting service can
+    /// reject the order of an earlier holder.
     pub token: u64,
 }
--- a/components/base/src/clock.rs
+++ b/components/base/src/clock.rs
@@ -85,8 +85,9 @@
         Instant::ZERO + since_boot().saturating_sub(self.start)
     }
 
-    /// Converts an instant to the clock of the runtime's timers. The result is too
-    /// late by the length of any suspension of the host before that instant.
+    /// Converts an instant to the clock of the runtime's timers. That clock stops while
+    /// the host is suspended, so the result is too late by the length of any suspension
+    /// between this call and the instant.
     pub fn at(&self, instant: Instant) -> std::time::Instant {
         std::time::Instant::now() + instant.since(self.now())
     }
--- a/components/base/src/lib.rs
+++ b/components/base/src/lib.rs
@@ -1,7 +1,7 @@
 //! Types shared by all other crates: time, log positions, names, arenas and the
 //! status of a backend server.
 //!
-//! This crate is the lowest layer and uses no sockets, disks or threads.
+//! The crate is the lowest layer and uses no sockets, disks or threads.
 
 pub mod arena;
 pub mod clock;
--- a/components/base/src/mark.rs
+++ b/components/base/src/mark.rs
@@ -101,7 +101,8 @@
 }
 
 impl History {
-    /// Maximum number of terms kept; no session lasts for this many failovers.
+    /// Maximum number of terms kept. No session lasts for this many failovers, so no
+    /// session holds a mark of a trimmed term.
     pub const MAX_TERMS: usize = 64;
 
     /// Adds the start of a term: `position` is the last position of the log before
--- a/components/journal/src/open.rs
+++ b/components/journal/src/open.rs
@@ -36,7 +36,7 @@
     entries: BTreeMap<u64, Vec<u8>>,
     /// Index of the last entry that was read.
     last: u64,
-    /// Number, length in bytes and index of the last entry of each segment.
+    /// Number and length in bytes of each segment, and the value of `last` at its end.
     segments: Vec<(u64, u64, u64)>,
     /// File name, offset and length in bytes of a torn tail.
     torn: Option<(String, u64, u64)>,
@@ -57,8 +57,8 @@
     /// recovered content.
     ///
     /// # Errors
-    /// [`Failure::Disk`]; [`Failure::Corrupt`] when a snapshot is corrupt, or a frame
-    /// that is followed by a valid one.
+    /// [`Failure::Disk`]; [`Failure::Corrupt`] when the newest snapshot is corrupt, an
+    /// invalid frame is not the torn tail of the newest segment, or entries are missing.
     pub fn open(mut disk: D) -> Result<(Self, Recovered), Report<Failure>> {
         let (void, snapshot) = newest_snapshot(&disk)?;
         let scan = scan(&disk, void)?;
--- a/components/journal/src/store.rs
+++ b/components/journal/src/store.rs
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub(crate) struct Closed {
     pub(crate) name: String,
-    /// Index of the last entry in the segment.
+    /// Index of the last entry written before the segment was closed.
     pub(crate) last: u64,
 }
 
--- a/components/journal/tests/fake/mod.rs
+++ b/components/journal/tests/fake/mod.rs
@@ -21,7 +21,7 @@
     /// File names after each change since the last sync of the folder, starting with
     /// the synced names.
     names: Vec<Names>,
-    /// Number of changes that still succeed; all changes if none.
+    /// Number of changes that still succeed; `None` if no change fails.
     remaining: Option<u32>,
 }
 
@@ -42,8 +42,9 @@
         self.inner().remaining = None;
     }
 
-    /// Loses a random part of the unsynced changes: the last changes of file names,
-    /// and the end of the unsynced content of files, the rest of which may be zeroed.
+    /// Loses a random part of the unsynced changes: the last changes of file names, the
+    /// end of the unsynced content of files, and unsynced truncations. Unsynced content
+    /// that is kept may be zeroed.
     pub fn crash(&self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         let mut inner = self.inner();
         inner.remaining = None;
--- a/components/journal/tests/fuzz.rs
+++ b/components/journal/tests/fuzz.rs
@@ -19,6 +19,7 @@
 /// Number of writes in a schedule.
 const STEPS: usize = 60;
 
+/// Length of a segment, in bytes, short enough for several segments in a schedule.
 const SEGMENT_BYTES: u64 = 400;
 
 /// The content that a journal must have.
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! A frame is a length of four bytes, big-endian, and that many bytes of one
 //! message. Before the first message, both ends name themselves and prove that they
-//! hold the shared key, each over a nonce of the other end. Links never resend a
-//! message: whether one that may have been delivered is retried is decided by the
-//! layer that sent it.
+//! hold the shared key, each by a MAC that covers a nonce of the other end. Links
+//! never resend a message: the layer that sent a message decides whether to retry it
+//! when its delivery is uncertain.
 
 pub mod frame;
 pub mod key;
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -130,8 +130,8 @@
 /// Dials an address and authenticates both ends.
 ///
 /// # Errors
-/// [`Failure::Connect`] when nothing listens at the address; otherwise those of
-/// [`accept`].
+/// [`Failure::Connect`] when the connection is refused or fails, [`Failure::Timeout`]
+/// after [`CONNECT_TIMEOUT`]; otherwise those of [`accept`].
 pub async fn dial(
     address: SocketAddr,
     own: &Peer,
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -100,21 +100,22 @@
     pub condition: i32,
 }
 
-/// Confirms that a keeper has ended its work for all primaries before a term and no
-/// longer passes on any answer of theirs.
+/// Confirms that a keeper has ended its work for all primaries of earlier terms and
+/// no longer passes on any answer of theirs. Sent only for unfenced groups, whose
+/// servers can't be fenced at a new term.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Seal {
     /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// Intended term; earlier terms are sealed.
+    /// Term of the failover that has begun; all earlier terms are sealed.
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Highest mark that the keeper has acknowledged to a caller, if any.
     #[prost(message, optional, tag = "3")]
     pub mark: Option<Mark>,
     /// Index of the control log that the keeper had applied when it sent the commit
-    /// of that mark.
+    /// of that mark; zero without a mark.
     #[prost(uint64, tag = "4")]
     pub index: u64,
 }
@@ -136,7 +137,8 @@
     /// Body of a message from a control member.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Body {
-        /// A piece of the whole control state, for an entry too far behind the log.
+        /// A piece of the whole control state, for an entry that needs commands which the
+        /// log no longer contains.
         #[prost(message, tag = "1")]
         Image(super::Image),
         /// Committed commands, in log order.
--- a/components/wire/src/data.rs
+++ b/components/wire/src/data.rs
@@ -3,8 +3,8 @@
 //! One link carries the requests of many callers. A request is one cycle of the
 //! callers' protocol: the client messages up to and including one Query or Sync,
 //! answered by the server messages up to and including one ReadyForQuery. The link's
-//! handshake identifies both processes and their incarnations, so a number alone
-//! identifies a request; a number is never reused on a link.
+//! handshake identifies both processes and their incarnations, so the request number
+//! alone identifies a request; a number is never reused on a link.
 
 use crate::mark::Mark;
 
@@ -50,7 +50,8 @@
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Class {
-    /// Not declared otherwise: the request may write and runs at most once.
+    /// Class of requests without a declaration: the request may write and runs at most
+    /// once.
     Write = 0,
     /// The request may write, and may be retried once the previous attempt is known
     /// to be over.
@@ -86,8 +87,8 @@
     #[prost(message, optional, tag = "7")]
     pub floor: Option<Mark>,
     /// Whether reads must include everything that was acknowledged before this
-    /// request arrived: set for a session without a floor and for a read that accepts
-    /// no staleness.
+    /// request arrived: set for a read that accepts no staleness and, in the
+    /// PostgreSQL protocol, for a session without a floor.
     #[prost(bool, tag = "8")]
     pub fresh: bool,
     /// Staleness in milliseconds that a read accepts, unless `fresh` is set.
@@ -102,7 +103,7 @@
     /// Client messages, in the form in which the backend server receives them.
     #[prost(bytes = "bytes", tag = "12")]
     pub payload: bytes::Bytes,
-    /// Number of answer bytes that the keeper may send before a [`Credit`].
+    /// Number of answer bytes that the keeper may send before it receives a [`Credit`].
     #[prost(uint64, tag = "13")]
     pub window: u64,
     /// Version of the configuration that admitted the request.
@@ -224,11 +225,12 @@
     QueueFull = 1,
     /// The deadline would pass before the request could run.
     Deadline = 2,
-    /// This entry is not a keeper of the group.
+    /// The entry holds no lease on the group, or the lease is being revoked.
     WrongKeeper = 3,
     /// The entry is stopping.
     Closing = 4,
-    /// The entry's lease has expired because it lost contact with control.
+    /// The entry's lease has expired because the entry lost contact with the control
+    /// members.
     Lease = 5,
     /// No server of the group is available.
     Unavailable = 6,
@@ -238,9 +240,9 @@
     Broken = 8,
     /// The transaction of the request no longer exists.
     TransactionGone = 9,
-    /// No selector allows the service to use the group.
+    /// No selector allows the service to use the group or the group's primary.
     Refused = 10,
-    /// The answer exceeds the size that may be held back.
+    /// The answer exceeds the size that the keeper buffers until the outcome is known.
     TooLarge = 11,
     /// The caller cancelled the request.
     Cancelled = 12,
@@ -272,7 +274,8 @@
     /// Whether a replica served the request.
     #[prost(bool, tag = "7")]
     pub replica: bool,
-    /// Time in milliseconds after which the request should be retried.
+    /// Time in milliseconds after which the request should be retried; zero if not
+    /// specified.
     #[prost(uint64, tag = "8")]
     pub retry_after_ms: u64,
     /// Name of the server that ran the request; empty if none did.
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -4,6 +4,12 @@
 //! needed. A receiver skips fields that it does not know, so processes of two
 //! consecutive releases work together.
 //!
+//! Two kinds of processes exchange messages. Control members replicate the control
+//! log by consensus. An entry is a proxy: its front serves the connections of callers,
+//! and its keeper holds the connections to the backend servers of each group on
+//! which the entry has a lease. A front may send a request to the keeper of another
+//! entry.
+//!
 //! - [`data`]: requests of a front to a keeper.
 //! - [`control`]: control log and lease renewal, between an entry and a control
 //!   member.
--- a/components/wire/src/log.rs
+++ b/components/wire/src/log.rs
@@ -26,7 +26,7 @@
         /// A backend server announced a change of its description.
         #[prost(message, tag = "2")]
         Announce(super::Announce),
-        /// A backend server stopped announcing itself.
+        /// A backend server stopped announcing itself, or left for good.
         #[prost(message, tag = "3")]
         Expire(super::Expire),
         /// An entry started.
@@ -41,10 +41,11 @@
         /// A failover begins.
         #[prost(message, tag = "7")]
         Intend(super::Intend),
-        /// The new primary is chosen, after a majority of the servers was fenced.
+        /// The new primary is chosen: in a fenced group after a majority of the servers was
+        /// fenced, in an unfenced group after each lease was sealed or has ended.
         #[prost(message, tag = "8")]
         Choose(super::Choose),
-        /// A majority of the group follows the new primary.
+        /// The new primary leads its group.
         #[prost(message, tag = "9")]
         Establish(super::Establish),
         /// An operator drains or resumes an entry.
@@ -56,7 +57,8 @@
     }
 }
 
-/// Changes the declarations, if the change is based on the current version.
+/// Changes the operators' declarations of services and groups, if the change is based
+/// on the current version.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Configure {
     /// Id of the change, chosen by the client; a retry with the same id gets the
@@ -148,13 +150,14 @@
     pub sequence: u64,
 }
 
-/// Removes a backend server that is gone.
+/// Records that a backend server is gone. A server that has a seat in its group stays
+/// in the control state, marked as expired, unless `left` is set.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Expire {
     /// Name of the server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Incarnation that is gone; a later incarnation is kept.
+    /// Incarnation that is gone; another incarnation is unaffected.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     /// Whether the server announced that it is gone permanently, and so loses its
@@ -199,8 +202,9 @@
     /// Incarnation that is gone; a later incarnation is kept.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Whether the entry's lease is certainly over: the entry has left, its process
-    /// has ended, or enough time has passed.
+    /// Whether the leases of the incarnation are certainly over: the entry has left,
+    /// its process has ended, or enough time has passed. Otherwise an incarnation
+    /// that held leases counts as a possible holder until a command with `over` set.
     #[prost(bool, tag = "3")]
     pub over: bool,
 }
@@ -247,7 +251,7 @@
     /// an outdated generation is refused.
     #[prost(uint64, tag = "2")]
     pub base: u64,
-    /// Leases on the group, one for each entry.
+    /// Leases on the group, at most one for each entry.
     #[prost(message, repeated, tag = "3")]
     pub leases: Vec<Lease>,
 }
@@ -258,7 +262,8 @@
     /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// Term to fence at, which must be higher than all earlier terms of the group.
+    /// Term of the new primary, higher than all earlier terms of the group. The servers
+    /// of a fenced group are fenced at this term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
 }
@@ -269,18 +274,20 @@
     /// Name of the group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// Intended term.
+    /// Term of the failover, as in [`Intend`].
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Name of the server to promote.
     #[prost(string, tag = "3")]
     pub server: String,
-    /// Mark of the last record in the server's log when the server was fenced.
+    /// Mark of the last record in the server's log when the server was fenced or, in an
+    /// unfenced group, reported its position.
     #[prost(message, optional, tag = "4")]
     pub start: Option<Mark>,
 }
 
-/// Records that a majority of a group follows the new primary.
+/// Records that the new primary leads: a majority of a fenced group follows it, or the
+/// chosen server of an unfenced group reports that it leads.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Establish {
     /// Name of the group.
--- a/components/wire/src/pack.rs
+++ b/components/wire/src/pack.rs
@@ -1,8 +1,8 @@
 //! Compression of long texts with zlib.
 //!
-//! The declarations of some thousand databases are a text of a megabyte or more,
-//! which every entry receives. Compressed to a tenth of that or less, a change
-//! reaches hosts on slow links before their leases expire.
+//! The operators' declarations of some thousand databases are a text of a megabyte
+//! or more, which every entry receives. The compressed text is a tenth of that or
+//! less, so a change reaches hosts on slow links before their leases expire.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -22,7 +22,7 @@
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the bytes are no deflated text")
+        f.write_str("the bytes are not a zlib-compressed text, or the text is too long")
     }
 }
 
--- a/components/wire/src/plain.rs
+++ b/components/wire/src/plain.rs
@@ -1,5 +1,7 @@
-//! Statements of the plain protocol, which a front and a keeper exchange in the
-//! payload of [`crate::data::Run`] and [`crate::data::Part`].
+//! Messages of the plain protocol, in which callers send statements in another format
+//! than that of PostgreSQL. A front sends a [`Task`] in the payload of a
+//! [`crate::data::Run`], and the keeper answers with a [`Reply`] in the payload of a
+//! [`crate::data::Part`].
 
 use bytes::Bytes;
 
@@ -41,7 +43,7 @@
     /// Whether the statement writes.
     #[prost(bool, tag = "1")]
     pub writes: bool,
-    /// Definition of the prepared statement; equal shapes mean the same statement.
+    /// Definition of the prepared statement; equal definitions mean the same statement.
     #[prost(bytes = "bytes", tag = "2")]
     pub shape: Bytes,
     /// Arguments, passed on unchanged.
--- a/components/wire/src/quorum.rs
+++ b/components/wire/src/quorum.rs
@@ -1,15 +1,15 @@
 //! Consensus messages between control members.
 //!
 //! A link between members carries one [`Hello`] in each direction and then
-//! [`Message`]s from the dialer. Loss, duplication and reordering of messages are
-//! harmless.
+//! [`Message`]s from the dialer, whose arrival the acceptor confirms by empty
+//! `Hello`s. Loss, duplication and reordering of messages are harmless.
 
 use bytes::Bytes;
 
 use crate::control::{Seal, Symptom};
 use crate::log::{Announce, Join, Leave};
 
-/// The first message of each end of a link.
+/// The first message of each end of a link, and a confirmation of received messages.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Hello {
     /// Description of the sender.
@@ -18,7 +18,8 @@
     /// Whether the sender has no log and no membership yet.
     #[prost(bool, tag = "2")]
     pub fresh: bool,
-    /// Whether the sender knows no leader and asks to become a member.
+    /// Whether the sender asks to become a member: it has no log, or has had no leader
+    /// for too long.
     #[prost(bool, tag = "3")]
     pub wants_to_join: bool,
     /// Whether the sender confirms received messages, by an empty `Hello` from time to
@@ -46,7 +47,8 @@
     /// replicates the log.
     #[prost(bool, tag = "5")]
     pub voter: bool,
-    /// Address on which the member publishes beacons, in its own [`Hello`] only.
+    /// Address at which the member publishes its progress over nng; set only in the
+    /// member's own [`Hello`].
     #[prost(string, tag = "6")]
     pub beacon: String,
 }
@@ -264,8 +266,8 @@
     /// Number of the batch of reads at the sender.
     #[prost(uint64, tag = "1")]
     pub batch: u64,
-    /// Encoded notes, such as a [`Heartbeat`], that the leader must process before it
-    /// confirms the batch.
+    /// Notes of the reads, each an encoded [`Heartbeat`], which the leader must process
+    /// before it confirms the batch.
     #[prost(bytes = "bytes", repeated, tag = "2")]
     pub notes: Vec<Bytes>,
 }
@@ -318,9 +320,11 @@
 pub enum Refusal {
     /// Reason that this release does not know.
     Other = 0,
-    /// Another membership change is not committed yet.
+    /// Another membership change is not committed yet, or a leadership transfer is in
+    /// progress.
     Busy = 1,
-    /// The leader has committed no entry of its own term yet.
+    /// The leader has committed no entry of its own term yet, or the member does not
+    /// lead.
     Early = 2,
     /// The host to add is already a member.
     Known = 3,
@@ -343,8 +347,8 @@
     pub refusal: i32,
 }
 
-/// Reports of entries and backend servers that a member forwards to the leader. The
-/// source of each report repeats it, so a lost message is harmless.
+/// Reports of entries, backend servers and new hosts that a member forwards to the
+/// leader. The source of each report repeats it, so a lost message is harmless.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Forward {
     /// Announcements of backend servers.
