--- a/components/load/src/bench.rs
+++ b/components/load/src/bench.rs
@@ -150,7 +150,8 @@
         let fault = match fault {
             Fault::ReplicaLag => standin::Fault::ReplicaLag(FAULT_LAG),
             Fault::PrimaryPartition => standin::Fault::PrimaryPartition,
-            // without control members no replica is promoted after a crash
+            // the other faults need entries or control members; without control members,
+            // no replica is promoted after a crash
             _ => return Err(Report::new(Failure::Fault)),
         };
         self.groups[group].inject(fault).await.change_context(Failure::Fault)
--- a/components/load/src/caller.rs
+++ b/components/load/src/caller.rs
@@ -1,7 +1,7 @@
 //! A caller's session, which moves between entries.
 //!
-//! A caller connects to another entry every few requests, with or without its
-//! session token, and checks the data that it reads against the writes that were
+//! A caller connects to a randomly chosen entry every few requests, with or without
+//! its session token, and checks the data that it reads against the writes that were
 //! acknowledged to it.
 
 use std::collections::BTreeMap;
@@ -58,11 +58,11 @@
     pub acked_counter: u64,
     /// Number of acknowledged counter updates.
     pub acked_updates: u64,
-    /// Latencies of answered requests in microseconds, by request.
+    /// Latencies of successful requests in microseconds, by request.
     pub latencies: BTreeMap<String, Histogram<u64>>,
     /// Number of reads that missed one of the session's own acknowledged writes.
     pub ryw_violations: u64,
-    /// Number of answers that belong to another request.
+    /// Number of answers that belong to another request or to none.
     pub mixed_answers: u64,
     /// Number of reads that returned data older than they accept.
     pub stale: u64,
@@ -80,7 +80,7 @@
     shared: Arc<Shared>,
     rng: ChaCha8Rng,
     service: &'static str,
-    name: String,
+    group_name: String,
     token: Option<String>,
     sends_token: bool,
     think: Duration,
@@ -103,7 +103,7 @@
             shared: Arc::clone(shared),
             rng,
             service: services[(session / crate::scenario::GROUPS) % services.len()],
-            name: scenario.group(group),
+            group_name: scenario.group(group),
             token: None,
             sends_token: session.is_multiple_of(2),
             think,
@@ -119,7 +119,7 @@
             let entry = self.rng.random_range(0..usize::from(u16::MAX));
             let address = self.shared.address(self.journal.group, entry);
             let token = self.token.as_deref().filter(|_| self.sends_token);
-            let connected = client::connect(address, self.service, &self.name, token).await;
+            let connected = client::connect(address, self.service, &self.group_name, token).await;
             let Some(connection) = connected else {
                 self.journal.connects_failed += 1;
                 tokio::time::sleep(RETRY_DELAY).await;
--- a/components/load/src/failure.rs
+++ b/components/load/src/failure.rs
@@ -4,7 +4,8 @@
 /// The step of a run that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// The groups, the entries or the control members could not be started.
+    /// The groups, the entries or the control members could not be started, or the
+    /// declarations could not be applied.
     Start,
     /// The tables could not be created in time.
     Schema,
--- a/components/load/src/oracle.rs
+++ b/components/load/src/oracle.rs
@@ -26,7 +26,7 @@
     pub paid: u64,
 }
 
-/// Waits until all servers of a group hold and have applied the same records.
+/// Waits until all servers of a group hold and have applied the same log records.
 ///
 /// # Errors
 /// [`Failure::Convergence`] after 30 seconds.
@@ -66,7 +66,7 @@
 /// Reads all rows from a group's primary.
 ///
 /// # Errors
-/// [`Failure::Audit`] when there is no primary or a query fails.
+/// [`Failure::Audit`] when there is no primary, or the connection or a query fails.
 pub async fn read(snapshot: &Snapshot) -> Result<Rows, Report<Failure>> {
     let address = snapshot.primary.ok_or(Failure::Audit)?;
     // servers exempt this user from their connection limit, so that the check can
--- a/components/load/src/overload.rs
+++ b/components/load/src/overload.rs
@@ -15,9 +15,9 @@
 const CALLERS_STEP: usize = 24;
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Overloads a group for a time and returns the number of answers by service. The
-/// first service has the fewest callers, and each further service has as many more
-/// than the one before.
+/// Overloads a group for `length` and returns the number of successful statements by
+/// service. The first service has `CALLERS_STEP` callers, and each further service
+/// has `CALLERS_STEP` callers more than the service before.
 pub async fn run(shared: &Arc<Shared>, length: Duration) -> BTreeMap<String, u64> {
     let services = shared.scenario.services();
     let counts = services.map(|_| Arc::new(AtomicU64::new(0)));
--- a/components/load/src/run.rs
+++ b/components/load/src/run.rs
@@ -176,8 +176,9 @@
     Ok(())
 }
 
-/// Runs the traffic phase for `length` and injects the fault repeatedly. Returns the
-/// longest pause of acknowledged writes after each fault in microseconds.
+/// Runs the traffic phase for `length` and injects the fault repeatedly. Returns a
+/// histogram, in microseconds, of the longest pause of acknowledged writes after each
+/// fault that causes a failover.
 async fn run_traffic<B: Bench>(
     bench: &mut B,
     shared: &Shared,
--- a/components/load/src/scenario.rs
+++ b/components/load/src/scenario.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "lowercase")]
 pub enum Scenario {
-    /// Entries for shows: mostly writes, and reads that must be current.
+    /// Registrations for shows: mostly writes, and reads that must be current.
     Lakeshore,
     /// Tour bookings: mostly reads of seat maps, which may be 5 seconds old.
     Egbolt,
@@ -159,7 +159,12 @@
     }
 }
 
+/// Time that a read of current data may wait for a replica to become recent enough,
+/// in milliseconds.
 const PATIENCE_CURRENT_MS: u64 = 250;
+
+/// Time that a read of data of some age may wait for a replica to become recent
+/// enough, in milliseconds.
 const PATIENCE_AGED_MS: u64 = 50;
 
 fn name(text: &str) -> Name {
--- a/components/load/src/shared.rs
+++ b/components/load/src/shared.rs
@@ -18,7 +18,7 @@
     pub tags_reads: bool,
     /// Clock of the run.
     pub clock: Clock,
-    /// Number of requests that were answered.
+    /// Number of requests that succeeded.
     pub answered: AtomicU64,
     addresses: RwLock<Vec<Vec<SocketAddr>>>,
     stopped: AtomicBool,
--- a/components/load/src/verdict.rs
+++ b/components/load/src/verdict.rs
@@ -35,7 +35,7 @@
     pub scenario: String,
     /// Name of the fault that was injected.
     pub fault: String,
-    /// Name of the baseline that the proxy was restricted to.
+    /// Name of the baseline, which is the restriction of the proxy.
     pub baseline: String,
     /// Seed of the callers.
     pub seed: u64,
@@ -43,7 +43,8 @@
     pub seconds: f64,
     /// Number of acknowledged writes.
     pub acked: u64,
-    /// Number of acknowledged writes that the primary lacks at the end.
+    /// Number of acknowledged writes that the primary lacks at the end. All lost
+    /// updates of a session's counter count as one.
     pub acked_lost: u64,
     /// Number of writes that ran more than once.
     pub doubled: u64,
@@ -66,28 +67,28 @@
     pub errors: BTreeMap<String, u64>,
     /// Number of failed attempts to connect.
     pub connects_failed: u64,
-    /// Fraction of reads that replicas served.
+    /// Fraction of the traffic phase's reads that replicas served.
     pub replica_read_share: f64,
     /// Number of injected faults.
     pub faults: u64,
-    /// Percentiles over the faults of the longest pause of acknowledged writes in the
-    /// faulted group, in milliseconds.
+    /// Percentiles, over the faults that cause a failover, of the longest pause of
+    /// acknowledged writes in the faulted group, in milliseconds.
     pub failover_gap_ms: Percentiles,
-    /// Longest pause of acknowledged writes after each fault, in milliseconds and in
-    /// the order of the faults.
+    /// Longest pause of acknowledged writes after each fault that causes a failover, in
+    /// milliseconds and in the order of the faults.
     pub failover_gaps_ms: Vec<f64>,
     /// Term of each group at the end.
     pub terms: Vec<u64>,
-    /// Latencies in milliseconds, by request.
+    /// Latencies of successful requests in milliseconds, by request.
     pub latency_ms: BTreeMap<String, Percentiles>,
-    /// Latencies in milliseconds without the proxy, by request.
+    /// Latencies of successful requests without the proxy, in milliseconds, by request.
     pub direct_latency_ms: BTreeMap<String, Percentiles>,
     /// Jain's fairness index of the services' shares in the overload phase; 1 is
     /// perfectly fair.
     pub fairness: f64,
-    /// Number of statements answered in the overload phase, by service.
+    /// Number of successful statements in the overload phase, by service.
     pub overload: BTreeMap<String, u64>,
-    /// Answered requests per second of the traffic phase.
+    /// Number of successful requests per second of the traffic phase.
     pub statements_per_s: f64,
 }
 
--- a/components/load/tests/direct.rs
+++ b/components/load/tests/direct.rs
@@ -25,6 +25,7 @@
     };
     let verdict = load::run(&mut bench, &settings, &|_, _| {}).await.unwrap();
     assert!(verdict.acked > 0);
+    // without a proxy, the overload phase exceeds the servers' limits
     let without_limits = Verdict { limit_exceeded: 0, ..verdict.clone() };
     assert!(!without_limits.has_violation(), "{verdict:#?}");
     bench.stop().await;
--- a/components/local/src/cluster.rs
+++ b/components/local/src/cluster.rs
@@ -15,8 +15,8 @@
 use crate::fault;
 use crate::scenario::{self, Scenario};
 
-/// Longest time in which the declarations are applied, and longest time in which
-/// all entries and groups get ready.
+/// Time limit for the declarations to be applied, and separately for all entries and
+/// groups to become ready.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -66,7 +66,7 @@
 /// Why a cluster did not start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// The folder for data could not be created.
+    /// The temporary folder for data could not be created.
     Data,
     /// A control member did not start.
     Member,
@@ -74,9 +74,10 @@
     Entry,
     /// A stand-in group did not start.
     Group,
-    /// The declarations of the example were not accepted.
+    /// The declarations of the example could not be read.
     Declarations,
-    /// The components were not ready in time.
+    /// The control members rejected the declarations or did not apply them in time, or
+    /// the components were not ready in time.
     Timeout,
 }
 
@@ -251,13 +252,14 @@
         let change = admin::Change { id: "first", base: 0, content: &content };
         let (client, admins) = (reqwest::Client::new(), self.admins());
         match admin::submit(&client, &admins, change, READY_POLL_INTERVAL, READY_TIMEOUT).await {
-            // data of an earlier run holds declarations already
+            // a conflict means that the data of an earlier run already holds declarations
             Some(status) if status.is_success() || status == StatusCode::CONFLICT => Ok(()),
             Some(_) | None => Err(Report::new(Failure::Timeout)),
         }
     }
 
-    /// Waits until each entry is ready and each group has a primary.
+    /// Waits until each entry is ready and can run a query on each group, for which
+    /// the group needs a primary.
     async fn wait_ready(&self) -> Result<(), Report<Failure>> {
         let client = reqwest::Client::new();
         let all_ready = async {
@@ -310,7 +312,7 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("names of the examples are valid")
+    Name::new(text).expect("names of the cluster's components are valid")
 }
 
 fn zone(scenario: Scenario, index: usize) -> Name {
--- a/components/local/src/fault.rs
+++ b/components/local/src/fault.rs
@@ -41,7 +41,8 @@
     /// The text of the fault is not a known fault.
     #[strum(serialize = "no such fault")]
     UnknownFault,
-    /// The group has no such server, or no primary at present.
+    /// The group has no such server or no primary at present, or one of its servers
+    /// could not be restarted.
     #[strum(serialize = "the group has no such server or no primary now")]
     Impossible,
 }
--- a/components/local/src/scenario.rs
+++ b/components/local/src/scenario.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "lowercase")]
 pub enum Scenario {
-    /// Entries for shows around the lakes.
+    /// Exhibitors' registrations for shows around the lakes.
     #[default]
     Lakeshore,
     /// Bookings of launch-viewing tours.
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Total number of connections that a server accepts.
+    /// Number of data connections that a server accepts.
     pub const fn connections(self) -> usize {
         match self {
             Self::Lakeshore => 16,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Reads the declarations with the reader that operators' files go through too.
+    /// Reads the declarations in the same way as the files of an operator.
     ///
     /// # Errors
     /// [`Failure`].
--- a/components/local/tests/path.rs
+++ b/components/local/tests/path.rs
@@ -128,7 +128,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert!(config(admins[0]).await.is_none(), "an isolated member confirms nothing");
+    assert!(config(admins[0]).await.is_none(), "an isolated member returns no declarations");
     cluster.isolate_control(0, false).await;
     let version = before["version"].as_u64().map(|version| version + 1);
     for admin in admins {
@@ -138,7 +138,7 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         };
-        assert_eq!(found["version"].as_u64(), version, "asked at {admin}");
+        assert_eq!(found["version"].as_u64(), version, "version at the member {admin}");
     }
     cluster.stop().await;
 }
--- a/components/soak/src/chaos.rs
+++ b/components/soak/src/chaos.rs
@@ -1,4 +1,5 @@
-//! Injects concurrent faults into a system and removes each after its time.
+//! Injects concurrent faults into a system and removes each one when its duration
+//! ends.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -98,8 +99,10 @@
         while active.join_next().await.is_some() {}
     }
 
-    /// Reports the injected faults and the version of the declarations. Waits up to
-    /// about 10 seconds for a version that is not older than the acknowledged one.
+    /// Reports the injected faults and the version of the declarations. Reads the
+    /// version up to 100 times, every 100 ms, until it is not older than the
+    /// acknowledged one. This takes up to about 10 seconds, or longer if the control
+    /// member does not answer.
     pub async fn report(&self) -> Summary {
         let acknowledged = self.shared.acknowledged.load(Ordering::Relaxed);
         let mut version = 0;
@@ -188,9 +191,9 @@
         answer.json().await.ok()
     }
 
-    /// Submits the current declarations as a new version, like an operator who changes
-    /// a detail. A conflict with a concurrent change is not an error. `spread` selects
-    /// the members to read from and to submit to.
+    /// Submits the current declarations, unchanged, as a new version. A conflict with a
+    /// concurrent change and an unreachable member are not errors. The milliseconds of
+    /// `spread` select the members to read from and to submit to.
     async fn change(&self, spread: Duration) {
         let member = spread.as_millis() as usize;
         let Some(current) = self.current(member).await else { return };
--- a/components/soak/src/lib.rs
+++ b/components/soak/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`proxy`]: a proxy that delays, holds, silences and resets connections.
 //! - [`bench`]: the processes, proxies and groups, as a system under load.
 //! - [`chaos`]: injects the faults and removes them.
-//! - [`run`]: one soak and its outcome.
+//! - [`run`]: runs a soak and reports its outcome.
 
 pub mod bench;
 pub mod chaos;
@@ -29,8 +29,9 @@
     /// could not be applied.
     #[strum(to_string = "a component could not be started")]
     Start,
-    /// A component was not ready again in time after the faults were removed.
-    #[strum(to_string = "a component was not ready again after the faults were removed")]
+    /// A component was not ready in time, at the start or after the faults were
+    /// removed, or the faults of a group could not be removed.
+    #[strum(to_string = "a component was not ready in time or could not be healed")]
     Heal,
     /// The load could not be run to its end.
     #[strum(to_string = "the load failed")]
--- a/components/soak/src/plan.rs
+++ b/components/soak/src/plan.rs
@@ -49,11 +49,11 @@
     Connections(Target, Mode),
     /// The database group with this index has a fault.
     Group(usize, standin::Fault),
-    /// The declarations are changed.
+    /// The current declarations are submitted again, as a new version.
     Change,
 }
 
-/// A fault with its times.
+/// A fault with the time of its start and its duration.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     /// Time between the start of the previous fault and the start of this one.
--- a/components/soak/src/proxy.rs
+++ b/components/soak/src/proxy.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Closes a connection with a TCP reset.
+/// Makes a connection end with a TCP reset when its stream is dropped.
 fn reset(stream: &TcpStream) {
     // best effort: if the option cannot be set, the connection is closed normally
     drop(stream.set_zero_linger());
--- a/components/soak/src/run.rs
+++ b/components/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One soak and its outcome.
+//! Runs a soak and reports its outcome.
 
 use base::prelude::*;
 use load::{Baseline, Bench as _, Scenario, Verdict};
@@ -15,7 +15,8 @@
     pub paths: Paths,
     /// Seed of the callers and the faults.
     pub seed: u64,
-    /// Duration of the traffic with faults.
+    /// Duration of the load's traffic phase and overload phase together; faults are
+    /// injected during both.
     pub length: Duration,
     /// Number of caller sessions.
     pub callers: usize,
