--- a/components/pg/src/answer.rs
+++ b/components/pg/src/answer.rs
@@ -105,7 +105,7 @@
         self.put(&ParameterStatus::new(name.to_owned(), value.to_owned()));
     }
 
-    /// Appends a ReadyForQuery, which ends a cycle.
+    /// Appends a ReadyForQuery, which ends the answer to a Query or a Sync.
     pub fn ready(&mut self, status: Status) {
         let status = match status {
             Status::Idle => TransactionStatus::Idle,
@@ -153,7 +153,7 @@
         self.put(&CloseComplete::new());
     }
 
-    /// Appends the description of a statement without parameters.
+    /// Appends the `ParameterDescription` of a statement without parameters.
     pub fn parameters(&mut self) {
         self.put(&ParameterDescription::new(Vec::new()));
     }
--- a/components/pg/src/client.rs
+++ b/components/pg/src/client.rs
@@ -45,11 +45,11 @@
     Parse(Parse),
     /// Binds parameters to a statement, which makes a portal.
     Bind(Bind),
-    /// Describes the statement or portal of a name.
+    /// Describes the statement or portal with this name.
     Describe(Target, String),
     /// Runs a portal.
     Execute(Execute),
-    /// Closes the statement or portal of a name.
+    /// Closes the statement or portal with this name.
     Close(Target, String),
     /// Ends a cycle.
     Sync,
--- a/components/pg/src/cycle.rs
+++ b/components/pg/src/cycle.rs
@@ -13,7 +13,8 @@
 use crate::frame::Frame;
 use crate::scan::Feature;
 
-/// Longest cycle in bytes, chosen to fit into one frame between two processes.
+/// Longest cycle in bytes. A cycle must fit, with the fields that are sent along with it,
+/// into one frame between two processes, which is limited to 4 MiB.
 pub const MAX_BYTES: usize = (4 << 20) - (64 << 10);
 
 /// Largest number of messages in one cycle.
--- a/components/pg/src/filter.rs
+++ b/components/pg/src/filter.rs
@@ -1,8 +1,9 @@
 //! Filter for the answer of a backend server to a cycle.
 //!
 //! The backend server also answers the messages that the front added to a cycle.
-//! The filter removes these answers by their order. Messages about the state of the
-//! backend connection are removed as well, because callers share the connection.
+//! The filter recognizes these answers by their position among all answers to Parse and
+//! Close messages, and removes them. Messages about the state of the backend connection
+//! are removed as well, because callers share the connection.
 
 use std::fmt;
 
@@ -39,14 +40,17 @@
 
 impl std::error::Error for Mismatch {}
 
-/// Consecutive slices of an answer.
+/// Slices of an answer that are forwarded to the caller, in order.
 pub type Pieces = SmallVec<[Bytes; 2]>;
 
 /// State of the filter during the answer to one cycle.
 #[derive(Debug)]
 pub struct Filter<'a> {
+    /// Expected answers that the backend server has not sent yet, in order.
     expected: &'a [Expected],
+    /// Number of answers to the caller's own Parse and Close messages that were forwarded.
     own: usize,
+    /// Whether an error was forwarded.
     failed: bool,
 }
 
--- a/components/pg/src/frame.rs
+++ b/components/pg/src/frame.rs
@@ -79,7 +79,7 @@
     Ok(Some(Frame { kind: bytes[0], bytes }))
 }
 
-/// Takes the first of complete messages; `None` if none is left.
+/// Takes the first message from a sequence of complete messages; `None` if none is left.
 ///
 /// # Errors
 /// [`Failure::Oversized`] if the length exceeds the range of an `i32`, and
--- a/components/pg/src/lib.rs
+++ b/components/pg/src/lib.rs
@@ -13,6 +13,7 @@
 //!   server gets in their place.
 //! - [`filter`]: removes messages from an answer that the caller must not see.
 //! - [`answer`]: messages that the front writes itself.
+//! - [`code`]: errors that are sent to a caller, and their SQLSTATE codes.
 //! - [`scram`][mod@scram]: password authentication.
 
 pub mod answer;
--- a/components/pg/src/prepared.rs
+++ b/components/pg/src/prepared.rs
@@ -78,7 +78,8 @@
 /// Statements and portals that a cycle uses.
 #[derive(Debug, Default)]
 pub struct Lookup {
-    /// Statements that the cycle prepares, binds or describes, in this order.
+    /// Statements that the cycle prepares, binds or describes, in the order of the
+    /// messages.
     pub statements: Vec<Arc<Statement>>,
     /// Statements that the cycle itself prepares, in order.
     own: VecDeque<Arc<Statement>>,
@@ -96,9 +97,9 @@
 }
 
 impl Lookup {
-    /// Whether a Sync after these messages would have no effect: they leave no portal
-    /// open and run nothing outside a transaction. `in_transaction` tells whether a
-    /// transaction is open before the messages.
+    /// Whether a Sync after these messages would have no effect: outside of a transaction,
+    /// they bind and execute only a statement that begins one, and leave no portal open.
+    /// `in_transaction` tells whether a transaction is open before the messages.
     pub fn is_separable(&self, in_transaction: bool) -> bool {
         let mut in_transaction = in_transaction;
         let mut portals = BTreeMap::new();
--- a/components/pg/src/scan.rs
+++ b/components/pg/src/scan.rs
@@ -15,7 +15,8 @@
 /// Key in a SQL comment whose value names the kind of a request.
 pub const KIND_KEY: &str = "kind";
 
-/// Feature of PostgreSQL that a shared connection can't support.
+/// Reason for refusing a request, such as a feature of PostgreSQL that a shared connection
+/// can't support.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 pub enum Feature {
     /// LISTEN and UNLISTEN.
@@ -60,7 +61,8 @@
     /// Text that can't be split into tokens.
     #[strum(serialize = "the statement can't be read: a quote or comment is not closed")]
     Unreadable,
-    /// Flush after a statement that runs outside a transaction or ends one.
+    /// Flush after messages that bind or execute a statement outside of a transaction,
+    /// other than to begin one.
     #[strum(serialize = "Flush after a statement that runs outside a transaction is not \
                          carried; end the cycle with Sync. Nothing of it was run")]
     Flush,
@@ -99,13 +101,14 @@
 /// Class of a statement, which tells how it is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// Is sent to a backend server.
+    /// Statement that is sent to a backend server.
     Remote(Verb),
-    /// Is sent to a backend server in a transaction; refused outside of one.
+    /// Statement that is sent to a backend server in a transaction, and refused outside of
+    /// one.
     InTransaction(Feature),
-    /// Is answered by the front.
+    /// Statement that the front answers.
     Local(Local),
-    /// Is refused because it uses an unsupported feature.
+    /// Statement that is refused for this reason.
     Refused(Feature),
 }
 
@@ -114,7 +117,7 @@
 pub struct Scan {
     /// Classes of the statements in the text, without empty statements.
     pub statements: SmallVec<[Statement; 1]>,
-    /// Kind of the request, from a comment in the text.
+    /// Kind of the request: the value of [`KIND_KEY`] in a comment in the text.
     pub tag: Option<String>,
 }
 
@@ -137,7 +140,7 @@
         Self { statements, tag }
     }
 
-    /// Returns the first unsupported feature for which the text is refused.
+    /// Returns the first reason for which the text is refused, if there is one.
     /// `in_transaction` tells whether a transaction is open.
     pub fn refusal(&self, in_transaction: bool) -> Option<Feature> {
         let begins = |statement: &Statement| matches!(statement, Statement::Remote(Verb::Begin));
--- a/components/pg/src/scram.rs
+++ b/components/pg/src/scram.rs
@@ -28,10 +28,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
     /// The verifier does not have the format of PostgreSQL.
-    #[strum(to_string = "a verifier is SCRAM-SHA-256$ITERATIONS:SALT$STORED:SERVER")]
+    #[strum(
+        to_string = "a verifier must have the form SCRAM-SHA-256$ITERATIONS:SALT$STORED:SERVER"
+    )]
     Verifier,
-    /// A line of the user file is not `name:verifier`.
-    #[strum(to_string = "line {line} is not NAME:VERIFIER")]
+    /// A line of the user file does not have the form `name:verifier`, or its verifier is
+    /// invalid.
+    #[strum(to_string = "line {line} must have the form NAME:VERIFIER")]
     Line {
         /// Line number, counted from 1.
         line: usize,
--- a/components/pg/src/setting.rs
+++ b/components/pg/src/setting.rs
@@ -97,6 +97,7 @@
     setting("DateStyle", "ISO, MDY", &["iso", "iso,mdy"]),
     setting("default_transaction_isolation", "read committed", &["readcommitted"]),
     setting("default_transaction_read_only", "off", OFF),
+    // all positive values have the same effect since PostgreSQL 12
     setting("extra_float_digits", "1", &["1", "2", "3"]),
     setting("idle_in_transaction_session_timeout", "0", ZERO),
     setting("IntervalStyle", "postgres", &["postgres"]),
@@ -158,7 +159,7 @@
 /// Classifies a SET statement by the tokens after SET.
 pub(crate) fn set(tokens: &[&Token]) -> Statement {
     match word(tokens.first()).as_deref() {
-        // the effect of these ends with the transaction
+        // the effect of these statements ends with the transaction
         Some("LOCAL" | "TRANSACTION" | "CONSTRAINTS") => Statement::Remote(Verb::Other),
         Some("SESSION") if word(tokens.get(1)).is_some() => set(&tokens[1..]),
         Some("TIME") if word(tokens.get(1)).is_some_and(|word| word == "ZONE") => {
@@ -228,7 +229,8 @@
     Some((name, rest))
 }
 
-/// Joins a list of values into one text; `None` for DEFAULT.
+/// Joins a list of values into one text; `None` if DEFAULT or LOCAL, which stand for the
+/// default value, is among them.
 fn join_values(tokens: &[&Token]) -> Option<String> {
     let mut text = String::new();
     for token in tokens {
--- a/components/pg/src/startup.rs
+++ b/components/pg/src/startup.rs
@@ -15,13 +15,15 @@
 /// Bytes of the length and the request code at the start of a packet.
 const HEAD_BYTES: usize = 8;
 
-/// Length of a cancel request in bytes: head, process and a secret of four bytes.
+/// Length of a cancel request in bytes: the head, and a process number and a secret of
+/// four bytes each.
 const CANCEL_BYTES: usize = 16;
 
 /// Error in a packet before login.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 pub enum Failure {
-    /// The length is below the size of the head or above [`MAX_BYTES`].
+    /// The length is too small for the length field and the request code, or above
+    /// [`MAX_BYTES`].
     #[strum(to_string = "a start-up packet has no such length")]
     Length,
     /// The packet can't be decoded.
--- a/components/pg/tests/cycles.rs
+++ b/components/pg/tests/cycles.rs
@@ -19,7 +19,8 @@
     std::env::var("TREFOIL_FUZZ_SCHEDULES").map_or(300, |text| text.parse().unwrap())
 }
 
-/// Size of the random input of one seed, as the low half of an `arbtest` seed.
+/// Size in bytes of the random input of one seed; `arbtest` takes it from the low 32 bits
+/// of its seed.
 const SIZE: u64 = 4_096;
 
 /// Caller on the shared connection, with a dedicated connection for comparison.
--- a/components/pg/tests/server/mod.rs
+++ b/components/pg/tests/server/mod.rs
@@ -59,7 +59,8 @@
                     return Err(error("syntax"));
                 }
                 if !name.is_empty() && self.statements.contains_key(&name) {
-                    // in a failed transaction, either error is correct
+                    // in a failed transaction both errors are correct; the model reports
+                    // the error of the failed transaction
                     self.check("")?;
                     return Err(error("taken statement"));
                 }
--- a/components/plain/src/dialect.rs
+++ b/components/plain/src/dialect.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of the plain types for a protocol.
+//! Trait of a protocol that encodes and decodes the types of this crate.
 
 use std::fmt;
 
@@ -21,8 +21,8 @@
 
 impl std::error::Error for Malformed {}
 
-/// Protocol that carries plain statements between callers, the proxy and backend
-/// servers.
+/// Protocol that carries statements and their answers between callers, the proxy and
+/// backend servers.
 pub trait Dialect: Send + Sync + fmt::Debug {
     /// Takes the next message of a caller from `input`; `None` if it is incomplete.
     ///
--- a/components/plain/src/server.rs
+++ b/components/plain/src/server.rs
@@ -20,7 +20,7 @@
     Run {
         /// Id that the caller gave the statement.
         id: Bytes,
-        /// Position that the server must have reached before it runs this.
+        /// Position that the server must have reached before it runs the statement.
         wait: Option<Mark>,
         /// Text of the statement.
         text: Bytes,
@@ -29,7 +29,7 @@
     Execute {
         /// Id that the caller gave the statement.
         id: Bytes,
-        /// Position that the server must have reached before it runs this.
+        /// Position that the server must have reached before it runs the statement.
         wait: Option<Mark>,
         /// Number under which the statement is prepared on this connection.
         number: u64,
@@ -56,7 +56,7 @@
     Reset,
     /// Begins a transaction.
     Begin {
-        /// Position that the server must have reached before it runs this.
+        /// Position that the server must have reached before it begins the transaction.
         wait: Option<Mark>,
         /// Whether the transaction only reads.
         access: Access,
