--- a/components/standin/src/announce.rs
+++ b/components/standin/src/announce.rs
@@ -10,7 +10,8 @@
 
 use crate::server::Server;
 
-/// Time from the start of one announcement to the start of the next.
+/// Time from the start of one announcement to the start of the next, unless the
+/// first one takes longer.
 pub const INTERVAL: Duration = Duration::from_millis(500);
 
 /// Timeout of the HTTP request to one control member.
@@ -46,7 +47,7 @@
     }
 }
 
-/// Announces the server at each [`INTERVAL`] until the task is cancelled; returns
+/// Announces the server once per [`INTERVAL`] until the task is cancelled; returns
 /// at once if no control members are configured.
 pub async fn run(server: Arc<Server>) {
     let controls = &server.settings.controls;
--- a/components/standin/src/answer.rs
+++ b/components/standin/src/answer.rs
@@ -68,8 +68,8 @@
     put(buffer, &Message::DataRow(DataRow::new(data, count)));
 }
 
-/// Whether a column or parameter is in binary format. No format code means that
-/// all are text, a single code applies to all.
+/// Whether the column or parameter at `index` is in binary format. Without format
+/// codes, all are in text format; a single code applies to all.
 pub fn is_binary(formats: &[i16], index: usize) -> bool {
     match formats {
         [] => false,
--- a/components/standin/src/counters.rs
+++ b/components/standin/src/counters.rs
@@ -1,4 +1,7 @@
 //! Counters of a server, from which a benchmark checks limits and routing.
+//!
+//! Data connections are those of database clients. Probe sessions, through which the
+//! system monitors and operates the server, use connections that are not counted.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -31,7 +34,8 @@
     /// Reads outside of transactions that the server ran as replica, without those
     /// of probe sessions.
     pub reads_replica: u64,
-    /// Committed transactions that had written.
+    /// Committed transactions with at least one write; savepoint commands count as
+    /// writes.
     pub commits: u64,
 }
 
@@ -69,7 +73,8 @@
 }
 
 impl Counters {
-    /// Counts a data connection unless `limit` are open; a refusal is counted too.
+    /// Counts a data connection as open until the guard is dropped. If `limit` are open
+    /// already, counts a refusal and returns `None`.
     pub fn acquire_connection(&self, limit: usize) -> Option<Guard<'_>> {
         let guard = self.connections.increment_below(limit as u64);
         if guard.is_none() {
@@ -91,7 +96,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a committed transaction that had written.
+    /// Counts a committed transaction with at least one write.
     pub fn record_commit(&self) {
         self.commits.fetch_add(1, Ordering::Relaxed);
     }
--- a/components/standin/src/failure.rs
+++ b/components/standin/src/failure.rs
@@ -40,12 +40,13 @@
     UndefinedFunction,
     /// The statement could not be parsed or prepared.
     Syntax,
-    /// The server accepts no writes, since it is not the primary.
+    /// The server accepts no writes, since it is not the primary, or not in the term of
+    /// the transaction.
     ReadOnly,
     /// The transaction has failed; only its end or a rollback to a savepoint is
     /// accepted.
     FailedTransaction,
-    /// Concurrent commits changed a result that the transaction has returned.
+    /// Concurrent commits changed the result of an earlier write of the transaction.
     Serialization,
     /// The connection limit is reached.
     TooManyConnections,
--- a/components/standin/src/fault.rs
+++ b/components/standin/src/fault.rs
@@ -12,14 +12,15 @@
     /// The primary is partitioned from its replicas; callers and probes still reach
     /// it.
     PrimaryPartition,
-    /// Servers apply the log entries that they receive after this delay.
+    /// Servers apply each log entry this long after its receipt.
     ReplicaLag(Duration),
     /// Crashed servers restart; partitions, slowdowns and announced departures end,
-    /// and the lag is that of the settings.
+    /// and the lag returns to that of the settings.
     Heal,
-    /// The server of this number announces that it leaves.
+    /// The server of this number marks itself as leaving in its announcements.
     Leave(usize),
-    /// Statements of the server of this number take this many times as long.
+    /// On the server of this number, the time that each statement holds a slot in
+    /// addition to its execution is multiplied by this factor.
     Slow(usize, u32),
 }
 
--- a/components/standin/src/function.rs
+++ b/components/standin/src/function.rs
@@ -46,10 +46,10 @@
         return None;
     }
     let arguments: Vec<_> = arguments.split(',').map(str::trim).collect();
-    call(name, &arguments)
+    parse_call(name, &arguments)
 }
 
-fn call(name: &str, arguments: &[&str]) -> Option<Function> {
+fn parse_call(name: &str, arguments: &[&str]) -> Option<Function> {
     match (name, arguments) {
         ("trefoil_status", [after, wait]) => {
             let wait = Duration::from_millis(wait.parse().ok()?);
--- a/components/standin/src/infer.rs
+++ b/components/standin/src/infer.rs
@@ -2,7 +2,8 @@
 //!
 //! SQLite does not type parameters. A parameter takes the type of the column that
 //! it is compared with, computed with or inserted into, if that can be derived
-//! from the adjacent tokens; otherwise it is text.
+//! from the adjacent tokens. A parameter after `LIMIT` or `OFFSET` is an `int8`, and
+//! any other is text.
 
 use std::collections::HashMap;
 
@@ -54,8 +55,8 @@
     token.chars().all(|character| "=<>!+-*/".contains(character))
 }
 
-// the column on the other side of an operator, or `limit` or `offset` before the
-// token
+// keyword `limit` or `offset` if it precedes the token at `at`, else the operand on
+// the other side of an operator next to that token
 fn adjacent_column(tokens: &[String], at: usize) -> Option<String> {
     let before = at.checked_sub(1).map(|at| tokens[at].as_str());
     if let Some(word @ ("limit" | "offset")) = before {
--- a/components/standin/src/log.rs
+++ b/components/standin/src/log.rs
@@ -45,8 +45,8 @@
 /// How a replica handled a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// The batch was ignored: the server follows another term or primary, or lacks
-    /// entries before the batch.
+    /// The batch was ignored: the server is at another term, follows another primary
+    /// or lacks entries before the batch.
     Refused,
     /// The log now holds all entries of the batch.
     Appended,
@@ -61,7 +61,8 @@
     role: Role,
     following: Option<SocketAddr>,
     entries: Vec<Arc<Entry>>,
-    // the terms in the log and where they begin, as in a history, but never trimmed
+    // terms in the log, each with the position after which its entries begin; unlike
+    // in a `History`, old terms are never dropped
     term_starts: Vec<Mark>,
     applied: Position,
     version: u64,
@@ -242,6 +243,7 @@
             self.push(Arc::clone(entry));
         }
         if rewound {
+            // the database is rebuilt from the first entry
             self.applied = Position(0);
         }
         if rewound || self.last() != before {
--- a/components/standin/src/server.rs
+++ b/components/standin/src/server.rs
@@ -38,17 +38,21 @@
     /// Logger that adds the server's name.
     pub log: Logger,
     storage: Mutex<Storage>,
+    // log version that the receivers of `changes` see
     version: watch::Sender<u64>,
     clock: Clock,
     address: Mutex<SocketAddr>,
     incarnation: AtomicU64,
+    // time of the last batch from the primary, in microseconds of `clock`
     last_contact: AtomicU64,
     partitioned: AtomicBool,
     leaving: AtomicBool,
     slowdown: AtomicU32,
+    // time from the receipt of an entry to its application, in microseconds
     lag: AtomicU64,
     peers: OnceLock<Vec<Weak<Server>>>,
     lifecycle: Mutex<Lifecycle>,
+    // notifications that cancel the statements of sessions, by process id and secret
     cancels: Mutex<HashMap<(i32, i32), Arc<Notify>>>,
     next_session: AtomicI32,
 }
@@ -57,6 +61,7 @@
 enum Lifecycle {
     // the bound socket keeps other processes from taking the port
     Stopped { _port: Option<TcpSocket> },
+    // `token` ends all tasks of the server, its child `data` only the data sessions
     Running { token: CancellationToken, data: CancellationToken, tasks: TaskTracker },
 }
 
@@ -105,7 +110,7 @@
         }))
     }
 
-    /// Sets the servers of the group, by which a replica finds its primary; only the
+    /// Sets the servers of the group, among which a replica finds its primary; only the
     /// first call has an effect.
     pub fn set_peers(&self, peers: Vec<Weak<Self>>) {
         drop(self.peers.set(peers));
@@ -174,12 +179,13 @@
         Some(socket)
     }
 
-    /// Whether the server runs, so neither has crashed nor is yet to start.
+    /// Whether the server is running: started, and not crashed since.
     pub fn is_running(&self) -> bool {
         matches!(*lock(&self.lifecycle), Lifecycle::Running { .. })
     }
 
-    /// Token whose cancellation ends the present data sessions.
+    /// Token whose cancellation ends the present data sessions, which are those of
+    /// database clients and not of probes.
     pub fn data_token(&self) -> CancellationToken {
         match &*lock(&self.lifecycle) {
             Lifecycle::Running { data, .. } => data.clone(),
@@ -200,8 +206,8 @@
         }
     }
 
-    /// Spawns a task that [`Server::crash`] waits for; dropped if the server is
-    /// stopped.
+    /// Spawns a task that [`Server::crash`] waits for; drops the task if the server is
+    /// not running.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         if let Lifecycle::Running { tasks, .. } = &*lock(&self.lifecycle) {
             tasks.spawn(task);
@@ -213,7 +219,8 @@
         *lock(&self.address)
     }
 
-    /// Incarnation of the server, higher after each start.
+    /// Incarnation of the server, taken at each start from the system time in
+    /// microseconds since the Unix epoch; never decreases.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.load(Ordering::Acquire)
     }
@@ -282,12 +289,14 @@
         self.lag.store(lag.as_micros() as u64, Ordering::Release);
     }
 
-    /// Time that each statement holds its slot, slowdown included.
+    /// Time that each statement holds its slot in addition to its execution, slowdown
+    /// included.
     pub fn statement_time(&self) -> Duration {
         self.settings.statement_time * self.slowdown.load(Ordering::Acquire)
     }
 
-    /// Multiplies the time that statements hold a slot; 0 counts as 1.
+    /// Sets the factor by which [`Settings::statement_time`] is multiplied; 0 counts
+    /// as 1.
     pub fn set_slowdown(&self, times: u32) {
         self.slowdown.store(times.max(1), Ordering::Release);
     }
@@ -320,7 +329,7 @@
         })
     }
 
-    /// Executes a function and returns the status after it.
+    /// Executes a function and returns the server's status afterwards.
     ///
     /// # Errors
     /// The error of a pending entry that could not be applied for a promotion.
--- a/components/standin/src/session.rs
+++ b/components/standin/src/session.rs
@@ -40,10 +40,10 @@
 /// connection is reset.
 pub async fn serve(server: Arc<Server>, mut stream: TcpStream, token: CancellationToken) {
     drop(stream.set_nodelay(true));
-    let mut data = None;
+    let mut data_token = None;
     let ended = {
         let mut connection = Connection::new(&mut stream);
-        let handling = handle_connection(&server, &mut connection, &mut data);
+        let handling = handle_connection(&server, &mut connection, &mut data_token);
         token.run_until_cancelled(handling).await
     };
     match ended {
@@ -90,22 +90,24 @@
 async fn handle_connection(
     server: &Arc<Server>,
     connection: &mut Connection<'_>,
-    data: &mut Option<CancellationToken>,
+    data_token: &mut Option<CancellationToken>,
 ) -> std::io::Result<()> {
     let Some(startup) = read_startup(server, connection).await? else {
         return Ok(());
     };
     let user = startup.parameters.get("user").map_or("", String::as_str);
+    // probes are exempt from the connection limit and the connect time, and a rewind
+    // does not end their sessions
     if user == backend::sql::USER {
         return run_session(server, connection, user).await;
     }
-    let Some(_held) = server.counters.acquire_connection(server.settings.connections) else {
+    let Some(_guard) = server.counters.acquire_connection(server.settings.connections) else {
         let rejection =
             Rejection::new(SqlState::TooManyConnections, "sorry, too many clients already");
         answer::put_error(&mut connection.outbox, Severity::Fatal, &rejection);
         return connection.flush().await;
     };
-    let token = data.insert(server.data_token()).clone();
+    let token = data_token.insert(server.data_token()).clone();
     tokio::time::sleep(server.settings.connect_time).await;
     let ended = token.run_until_cancelled(run_session(server, connection, user)).await;
     if let Some(ended) = ended {
@@ -116,8 +118,8 @@
     connection.flush().await
 }
 
-// the start-up message; `None` if the connection sent a cancel request, or ended
-// or sent anything else before it
+// reads the start-up message; `None` if the client sends a cancel request or another
+// message in its place, or closes the connection
 async fn read_startup(
     server: &Server,
     connection: &mut Connection<'_>,
--- a/components/standin/src/session/extended.rs
+++ b/components/standin/src/session/extended.rs
@@ -40,6 +40,7 @@
     formats: Vec<i16>,
     // outcome of the first execution, from which later ones send the remaining rows
     outcome: Option<Outcome>,
+    // number of rows of the outcome that have been sent
     sent: usize,
 }
 
--- a/components/standin/src/session/run.rs
+++ b/components/standin/src/session/run.rs
@@ -28,6 +28,7 @@
     server: Arc<Server>,
     cancel: Arc<Notify>,
     is_probe: bool,
+    // connection for reads, with the generation of the database that it opened
     reader: Option<(u64, Connection)>,
     transaction: Option<Transaction>,
     pub(super) extended: Extended,
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Sends an error; marks an explicit transaction as failed and discards an
-    /// implicit one.
+    /// Appends an error to the outbox; marks an explicit transaction as failed and
+    /// discards an implicit one.
     pub(super) fn fail(&mut self, rejection: &Rejection, outbox: &mut BytesMut) {
         answer::put_error(outbox, Severity::Error, rejection);
         match &mut self.transaction {
@@ -137,8 +138,9 @@
         }
         let command = sql::classify(&statement.sql);
         let failed = self.transaction.as_ref().is_some_and(|open| open.failed);
-        let ends = matches!(command, Command::Commit | Command::Rollback | Command::RollbackTo);
-        if failed && !ends {
+        let allowed_when_failed =
+            matches!(command, Command::Commit | Command::Rollback | Command::RollbackTo);
+        if failed && !allowed_when_failed {
             let message = "current transaction is aborted, commands ignored until end of block";
             return Err(Rejection::new(SqlState::FailedTransaction, message));
         }
@@ -254,8 +256,9 @@
         Ok(&self.reader.insert(reader).1)
     }
 
-    /// Describes parameters and columns of a statement, with the uncommitted writes of
-    /// the session's transaction.
+    /// Describes parameters and columns of a statement as they are after the uncommitted
+    /// writes of the session's transaction; both are empty for an SQL function or
+    /// a command that the session handles.
     pub(super) fn describe(&mut self, sql: &str) -> Result<Description, Rejection> {
         let is_query = sql::classify(sql) == Command::Other && function::parse(sql).is_none();
         if !is_query {
@@ -279,8 +282,8 @@
     }
 }
 
-// waits for a slot and then for the time that a statement takes in it, unless the
-// statement is cancelled
+// waits for a slot, then holds it for the server's statement time and `pause` before
+// the statement may run; fails if the statement is cancelled meanwhile
 async fn acquire_slot<'a>(
     server: &'a Server,
     cancel: &Notify,
--- a/components/standin/src/settings.rs
+++ b/components/standin/src/settings.rs
@@ -15,15 +15,17 @@
 /// Settings of a group.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the group; a server's name is this name and the server's number.
+    /// Name of the group; a server's name is this name, a hyphen and the server's
+    /// number.
     pub name: Name,
     /// Availability zones, assigned to the servers in rotation.
     pub zones: Vec<Name>,
     /// Number of servers in the group.
     pub servers: usize,
-    /// Statements that a server runs concurrently.
+    /// Largest number of statements that a server runs concurrently; further ones wait.
     pub slots: usize,
-    /// Concurrent data connections that a server accepts.
+    /// Largest number of concurrent data connections that a server accepts; connections
+    /// of probes do not count.
     pub connections: usize,
     /// Time that a data connection takes to open.
     pub connect_time: Duration,
--- a/components/standin/src/sql.rs
+++ b/components/standin/src/sql.rs
@@ -126,7 +126,7 @@
     }
 }
 
-/// Time that `trefoil_sleep(MS)` in a statement adds to the hold of its slot.
+/// Time by which `trefoil_sleep(MS)` in a statement prolongs the use of its slot.
 pub fn sleep_duration(text: &str) -> Duration {
     let name = "trefoil_sleep(";
     let Some(at) = text.find(name) else {
--- a/components/standin/src/sqlite.rs
+++ b/components/standin/src/sqlite.rs
@@ -62,7 +62,8 @@
     connection.execute_batch("PRAGMA journal_mode = WAL; PRAGMA synchronous = OFF;")?;
     connection.set_prepared_statement_cache_capacity(CACHED_STATEMENTS);
     let flags = FunctionFlags::SQLITE_UTF8;
-    // only returns its argument: the session waits before it runs the statement
+    // `trefoil_sleep` only returns its argument, since the session has already waited
+    // for that time when SQLite runs the statement
     connection.create_scalar_function("trefoil_sleep", 1, flags, |call| call.get::<i64>(0))?;
     connection
         .create_scalar_function("version", 0, flags, |_call| Ok("PostgreSQL 16.0 stand-in"))?;
@@ -72,7 +73,8 @@
 /// Runs a statement and collects its whole result.
 ///
 /// # Errors
-/// The error of SQLite, with the SQLSTATE that fits best.
+/// The error of SQLite with the closest SQLSTATE, or [`SqlState::ProtocolViolation`]
+/// if a parameter has no value.
 pub fn run(connection: &Connection, statement: &Statement) -> Result<Output, Rejection> {
     let mut prepared = connection.prepare_cached(&statement.sql)?;
     bind(&mut prepared, &statement.values)?;
@@ -130,7 +132,7 @@
 /// Parameters and columns of a prepared statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Description {
-    /// Types of the parameters; text if none could be inferred.
+    /// Types of the parameters; text where no type could be inferred.
     pub parameters: Vec<Kind>,
     /// Names and types of the columns.
     pub columns: Vec<(String, Kind)>,
--- a/components/standin/src/storage.rs
+++ b/components/standin/src/storage.rs
@@ -1,7 +1,7 @@
-//! Log and database of a server, which one lock guards.
+//! Log and database of a server, guarded by one lock.
 //!
-//! A commit runs in SQLite and is appended to the log under a single hold of the
-//! lock, and a fence takes the same lock: once a fence has returned, no commit of a
+//! A commit runs in SQLite and is appended to the log without releasing the lock in
+//! between, and a fence takes the same lock: once a fence has returned, no commit of a
 //! lower term can follow.
 
 use std::collections::VecDeque;
@@ -24,8 +24,10 @@
     pub log: Log,
     writer: Connection,
     folder: PathBuf,
+    // number of the newest database file, incremented by each rebuild
     generation: u64,
     rebuilding: bool,
+    // last position and time of receipt of each batch that is not applied yet
     arrivals: VecDeque<(Position, Instant)>,
 }
 
--- a/components/standin/src/transaction.rs
+++ b/components/standin/src/transaction.rs
@@ -3,7 +3,7 @@
 //! Transactions are optimistic: a transaction holds no lock between its statements.
 //! Each statement runs after the replayed earlier writes of the transaction, and all
 //! are then rolled back. The commit replays all writes, and fails with a
-//! serialization failure if one has another result than the client received.
+//! serialization failure if one of them has another result than the client received.
 
 use base::prelude::*;
 
--- a/components/standin/src/value.rs
+++ b/components/standin/src/value.rs
@@ -153,10 +153,10 @@
     }
 }
 
-/// Decodes the value of a parameter; no bytes stand for null.
+/// Decodes the value of a parameter; `None` stands for null.
 ///
 /// # Errors
-/// [`SqlState::InvalidValue`] if the bytes are no valid value of the type.
+/// [`SqlState::InvalidValue`] if the bytes are not a valid value of the type.
 pub fn decode(bytes: Option<&[u8]>, kind: Kind, binary: bool) -> Result<Value, Rejection> {
     let Some(bytes) = bytes else {
         return Ok(Value::Null);
--- a/components/standin/tests/failover.rs
+++ b/components/standin/tests/failover.rs
@@ -82,8 +82,8 @@
     Probe::connect(address, TIMEOUT).await.unwrap()
 }
 
-// fences all servers but the old primary, promotes the one with the longest log,
-// and makes the others follow it
+// fences all servers but the old primary, promotes the one whose last entry has the
+// highest term and position, and makes the others follow it
 async fn fail_over(world: &World, term: Term) {
     let old = *world.primary.lock().unwrap();
     let mut fenced = Vec::new();
--- a/components/standin/tests/group.rs
+++ b/components/standin/tests/group.rs
@@ -40,7 +40,7 @@
     rows.collect::<Vec<_>>().join(",")
 }
 
-async fn state(client: &Client, query: &str) -> String {
+async fn sql_state(client: &Client, query: &str) -> String {
     let error = client.simple_query(query).await.unwrap_err();
     error.code().map_or_else(|| "broken".to_owned(), |code| code.code().to_owned())
 }
@@ -70,7 +70,7 @@
     until(&group, alike).await;
     let reader = connect(replica).await;
     assert_eq!(value(&reader, "SELECT ring FROM tags ORDER BY id").await, "a;b,c");
-    assert_eq!(state(&reader, "DELETE FROM tags").await, "25006");
+    assert_eq!(sql_state(&reader, "DELETE FROM tags").await, "25006");
     assert_eq!(value(&reader, "SELECT * FROM trefoil_mark()").await, "1");
     group.stop().await;
 }
@@ -84,15 +84,15 @@
     client.simple_query("BEGIN; INSERT INTO tags VALUES (1)").await.unwrap();
     let fenced = probe(primary).await.fence(Term(2)).await.unwrap();
     assert_eq!((fenced.term, fenced.log_term, fenced.role), (Term(2), Term(1), Role::Replica));
-    assert_eq!(state(&client, "COMMIT").await, "25006");
-    assert_eq!(state(&client, "INSERT INTO tags VALUES (2)").await, "25006");
+    assert_eq!(sql_state(&client, "COMMIT").await, "25006");
+    assert_eq!(sql_state(&client, "INSERT INTO tags VALUES (2)").await, "25006");
     let after = probe(primary).await.status(0, Duration::ZERO).await.unwrap();
     assert_eq!(after.received, fenced.received);
     group.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn counts_each_commit_before_a_fence_that_races() {
+async fn reports_all_commits_at_a_concurrent_fence() {
     let group = Group::start(settings(true)).await.unwrap();
     let primary = group.servers()[0];
     connect(primary).await.simple_query("CREATE TABLE tags (id bigint)").await.unwrap();
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn cuts_off_what_the_new_primary_lacks() {
+async fn truncates_entries_that_the_new_primary_lacks() {
     let group = Group::start(settings(true)).await.unwrap();
     let [old, new, other] = group.servers()[..] else { panic!("three servers") };
     let client = connect(old).await;
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test]
-async fn reports_a_change_to_who_waits() {
+async fn reports_a_change_to_a_waiting_probe() {
     let group = Group::start(settings(true)).await.unwrap();
     let primary = group.servers()[0];
     let mut watcher = probe(primary).await;
--- a/components/standin/tests/log.rs
+++ b/components/standin/tests/log.rs
@@ -13,7 +13,7 @@
 const SERVERS: usize = 3;
 const STEPS: usize = 120;
 const SCHEDULES: u64 = 300;
-// random bytes of a schedule, the lower half of an arbtest seed
+// number of random bytes of a schedule, the lower 32 bits of an arbtest seed
 const BYTES: u64 = 4_096;
 
 fn address(server: usize) -> SocketAddr {
@@ -23,7 +23,7 @@
 struct World {
     logs: Vec<Log>,
     written: u64,
-    // statement of each entry as it was written
+    // SQL text of each entry when it was appended on a primary
     oracle: BTreeMap<(Term, Position), String>,
     // batches in flight: receiver, term, primary, batch
     batches: Vec<(usize, Term, usize, Batch)>,
@@ -137,7 +137,7 @@
         }
     }
 
-    // a batch may arrive late, or twice
+    // delivers a random batch in flight, which may be late and may arrive again
     fn receive(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if self.batches.is_empty() {
             return Ok(());
@@ -184,7 +184,8 @@
         self.check_alike();
     }
 
-    // logs with an entry of the same term at the same position are identical up to it
+    // logs with an entry of the same term at the same position are identical up to
+    // that entry
     fn check_alike(&self) {
         for (one, other) in [(0, 1), (0, 2), (1, 2)] {
             let (one, other) = (self.logs[one].entries(), self.logs[other].entries());
--- a/components/standin/tests/session.rs
+++ b/components/standin/tests/session.rs
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn cancels_what_runs() {
+async fn cancels_a_running_statement() {
     let (group, client, _) = start().await;
     let token = client.cancel_token();
     let slow = client.simple_query("SELECT trefoil_sleep(60000)");
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn refuses_what_it_does_not_offer() {
+async fn rejects_unsupported_statements() {
     let (group, client, _) = start().await;
     for statement in ["COPY entries FROM STDIN", "LISTEN rings"] {
         assert_eq!(code(&client.batch_execute(statement).await.unwrap_err()), "0A000");
