--- a/programs/trefoil-load/src/cli.rs
+++ b/programs/trefoil-load/src/cli.rs
@@ -12,7 +12,8 @@
     pub scenario: Scenario,
     /// Fault that is injected repeatedly during the run.
     pub fault: Fault,
-    /// Restricted mode of the proxy that serves as baseline.
+    /// Restriction of the workload for a baseline run, such as reads without the
+    /// tag of their kind, which only primaries serve.
     pub baseline: Baseline,
     /// Whether callers connect to the primaries directly, without the proxy.
     pub direct: bool,
@@ -22,7 +23,7 @@
     pub callers: usize,
     /// Mean time between an answer and the next request, in milliseconds.
     pub think_ms: u64,
-    /// Seed of the callers' random numbers.
+    /// Seed of the random numbers of the callers and the test bench.
     pub seed: u64,
     /// Whether the result is printed as JSON on a single line.
     pub json: bool,
--- a/programs/trefoil-load/src/cmd/run.rs
+++ b/programs/trefoil-load/src/cmd/run.rs
@@ -49,7 +49,7 @@
 impl std::error::Error for Failure {}
 
 /// Runs the load test. The exit code is 1 when a guarantee was violated and 3
-/// when the test failed to run.
+/// when the test could not be run or its result could not be printed.
 pub fn run(arguments: &Arguments) -> ExitCode {
     let log = telemetry::logger("trefoil-load", arguments.level, arguments.format);
     let verdict = tokio::runtime::Runtime::new()
--- a/programs/trefoil-slope/src/cmd/beat.rs
+++ b/programs/trefoil-slope/src/cmd/beat.rs
@@ -1,5 +1,6 @@
-//! Measures the cost of heartbeats: the work of a member for one round, in which
-//! each of its entries sends one heartbeat.
+//! Measures the cost of one round of heartbeats, in which each entry sends one
+//! heartbeat: the time to decode the heartbeats and to encode their
+//! confirmations, and the time that the leader's state machine takes.
 
 use base::prelude::*;
 use control::{Event, Leader};
--- a/programs/trefoil-slope/src/cmd/change.rs
+++ b/programs/trefoil-slope/src/cmd/change.rs
@@ -45,7 +45,8 @@
     let down = Down { body: Some(down) };
     let bytes = down.encode_to_vec();
     // Each call needs a fresh state. The clones are made in advance, outside of
-    // the measured time.
+    // the measured time: 8 for each call of a round, one more than the 7 rounds of
+    // `median` use. Used states are leaked, so that freeing them is not measured.
     let mut states = vec![state; CALLS as usize * 8];
     let apply = median(CALLS, || {
         if let Some(mut state) = states.pop() {
--- a/programs/trefoil-slope/src/cmd/lead.rs
+++ b/programs/trefoil-slope/src/cmd/lead.rs
@@ -1,5 +1,5 @@
-//! Measures the load of an idle leader by number of database groups: the CPU
-//! time per tick and the rate of status probes.
+//! Measures the load of an idle leader by number of database groups: the elapsed
+//! time that its state machine takes per tick, and the rate of status probes.
 //!
 //! A warm-up comes first. During the warm-up, the leader's own commands
 //! establish a primary for each group and assign leases to the entries.
@@ -43,8 +43,11 @@
     state: State,
     leader: Leader,
     entries: Vec<Name>,
+    /// Total time that the leader's state machine took in the measured rounds.
     tick_time: Duration,
+    /// Number of status probes that the leader sent in the measured rounds.
     probes: u32,
+    /// Answers to the probes of the last round, for the next round.
     answers: Vec<Event>,
 }
 
@@ -93,7 +96,7 @@
         if round.is_multiple_of(25) {
             events.extend(self.heartbeats());
         }
-        // Probes of one round are answered in the next one.
+        // The probes of a round are answered in the next round.
         events.append(&mut self.answers);
         let mut out = Vec::new();
         let start = StdInstant::now();
--- a/programs/trefoil-slope/src/cmd/memory.rs
+++ b/programs/trefoil-slope/src/cmd/memory.rs
@@ -13,7 +13,7 @@
 
 const PAGE_BYTES: u64 = 4_096;
 
-/// Size of the users' system: one entry per node, one group per database, and as
+/// Size of a full deployment: one entry per node, one group per database, and as
 /// many services as databases.
 const FULL_SIZE: Size = Size { entries: 3_600, groups: 4_300, services: 4_300 };
 
--- a/programs/trefoil-slope/src/cmd/restart.rs
+++ b/programs/trefoil-slope/src/cmd/restart.rs
@@ -14,7 +14,8 @@
 
 const CHANGES: [u64; 4] = [10, 100, 1_000, 10_000];
 
-/// Changes between two snapshots, as in a member.
+/// Changes between two snapshots of the measured journal. A control member takes
+/// snapshots less often.
 const SNAPSHOT_EVERY: u64 = 1_024;
 
 /// Error of a measurement.
@@ -34,7 +35,9 @@
 struct Row {
     measure: &'static str,
     changes: u64,
+    /// Size of all files in the data folder, snapshots included.
     journal_bytes: u64,
+    /// Size of the last snapshot after the initial one; 0 if there was none.
     snapshot_bytes: usize,
     write_micros_a_change: f64,
     restart_millis: f64,
--- a/programs/trefoil-slope/src/main.rs
+++ b/programs/trefoil-slope/src/main.rs
@@ -1,7 +1,8 @@
 //! Measures how the cost of the control quorum grows with the size of the
-//! system. The capacity plan in `docs/CAPACITY.md` is calculated from these
-//! slopes. Only the decision state machines, encoded messages and the journal
-//! are measured, without sockets. Prints one JSON object per line.
+//! system. The capacity plan in `docs/CAPACITY.md` is calculated from the slopes
+//! of these measurements. Only the state machines of control, the encoding of
+//! messages and the journal are measured, without sockets. Prints one JSON
+//! object per line.
 
 mod cli;
 mod cmd;
--- a/programs/trefoil-slope/src/size.rs
+++ b/programs/trefoil-slope/src/size.rs
@@ -39,14 +39,16 @@
     state
 }
 
-/// Returns the command that replaces the declarations as a whole.
+/// Returns the command that replaces the declarations as a whole. `change` is the
+/// id of the change and `base` the version that the change is based on.
 pub(crate) fn configure(change: &str, base: u64, declarations: &Declarations) -> Body {
     let (change, patch) = (change.to_owned(), String::new());
     Body::Configure(Configure { change, base, content: declarations.canonical(), patch })
 }
 
 /// Returns the command that changes the weight of the first service, as a patch
-/// against `from`.
+/// against `from`. `change` is the id of the change and `base` the version of
+/// `from`.
 pub(crate) fn change_weight(change: &str, base: u64, from: &Declarations, weight: u32) -> Body {
     let mut to = from.clone();
     if let Some(service) = to.services.values_mut().next() {
--- a/programs/trefoilctl/src/client.rs
+++ b/programs/trefoilctl/src/client.rs
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Returns an entry's counters for its objectives, or `None` if the entry
-    /// does not answer in time.
+    /// Returns the counters that an entry keeps for the objectives of services, or
+    /// `None` if the request fails or times out.
     pub async fn fetch_page(&self, web: &str) -> Option<burn::Page> {
         let request = self.http.get(format!("http://{web}/v1/burn"));
         match send(request.timeout(PAGE_TIMEOUT)).await {
--- a/programs/trefoilctl/src/cmd/drain.rs
+++ b/programs/trefoilctl/src/cmd/drain.rs
@@ -1,4 +1,5 @@
-//! `drain`: drains an entry, which then keeps no groups and accepts no callers.
+//! `drain`: drains an entry, which then holds no leases and accepts no callers,
+//! or puts the entry back into use.
 
 use error_stack::Report;
 
--- a/programs/trefoilctl/src/failure.rs
+++ b/programs/trefoilctl/src/failure.rs
@@ -35,7 +35,8 @@
         /// Error text of the member's answer.
         text: String,
     },
-    /// An answer could not be decoded, or a report could not be rendered.
+    /// An answer could not be decoded, a report could not be rendered, or the HTTP
+    /// client could not be built.
     MalformedAnswer,
     /// No live entry returned its page of counters.
     NoPages {
--- a/programs/trefoilctl/src/main.rs
+++ b/programs/trefoilctl/src/main.rs
@@ -21,7 +21,7 @@
         Err(failure) => return show(&failure),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("a single-threaded runtime needs nothing beyond the process");
+    let runtime = runtime.expect("could not start the Tokio runtime");
     match runtime.block_on(cmd::run(options)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
--- a/programs/trefoilctl/tests/cluster.rs
+++ b/programs/trefoilctl/tests/cluster.rs
@@ -74,8 +74,9 @@
     run_json(admin, &["status", "--json"]).await
 }
 
-/// Waits for a complete failover after `term` and returns the leader's record;
-/// `None` if the leader changed, since a new leader has no times of the phases.
+/// Waits for a complete failover to a term after `term` and returns the control
+/// leader's record; `None` if the control leader changed, since a new one does not
+/// know the times of the failover's phases.
 async fn wait_for_failover(admin: SocketAddr, before: &Overview, term: u64) -> Option<Failover> {
     for _ in 0..MAX_POLLS {
         let overview = status(admin).await;
--- a/programs/trefoilctl/tests/commands.rs
+++ b/programs/trefoilctl/tests/commands.rs
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn errors_with_two_on_wrong_use() {
+async fn exits_with_two_for_invalid_arguments() {
     let (address, _member) = start(&[]).await;
     assert_eq!(run(address, &["apply"]).await.status.code(), Some(2));
     assert_eq!(run(address, &["nothing"]).await.status.code(), Some(2));
