--- a/components/keeper/src/admission.rs
+++ b/components/keeper/src/admission.rs
@@ -10,10 +10,12 @@
 use crate::request::{Lane, Request, Stage};
 use crate::service::Service;
 
-/// Retry delay sent to callers while the entry does not hold its own lease.
+/// Retry delay sent to callers whose request is not admitted because the entry
+/// does not hold its own lease.
 const LEASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Retry delay sent to callers whose service has a full queue.
+/// Retry delay sent to callers whose service has a full queue, or whose request
+/// is refused because it would wait longer than its objective.
 pub(crate) const QUEUE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// A request that is not admitted: the reason, the transaction status and the
@@ -213,7 +215,8 @@
         Ok(key)
     }
 
-    /// Returns the service of that name, creating its state if it is declared.
+    /// Returns the service with the given name. Creates its state at the first
+    /// use if the service is declared.
     fn service(&mut self, name: &str) -> Option<Key<Service>> {
         if let Some(key) = self.services_by_name.get(name) {
             return Some(*key);
--- a/components/keeper/src/conn.rs
+++ b/components/keeper/src/conn.rs
@@ -62,7 +62,8 @@
     RollingBack(Instant),
     /// The connection is being closed. A statement may still run on the server.
     Closing {
-        /// Whether a statement was running when the close was requested.
+        /// Whether the connection occupied one of the server's slots when the
+        /// close was requested.
         uses_slot: bool,
     },
 }
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -20,7 +20,8 @@
 /// An event that the host passes to a group.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A front requests the execution of one cycle.
+    /// A front requests the execution of one cycle: client messages that the
+    /// server answers up to one ReadyForQuery.
     Run {
         /// Front that sent the request.
         front: Front,
@@ -124,7 +125,8 @@
     Tick,
 }
 
-/// End of a cycle on a server that reports its log position with each answer.
+/// Report at the end of a cycle, or when a session was established, on a server
+/// that reports its log position with each answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reported {
     /// Status byte of ReadyForQuery: I, T or E.
@@ -327,8 +329,8 @@
     ReleaseLease,
     /// Increment a counter.
     Count(Count),
-    /// Log the end of a request that failed, was retried, or took longer than
-    /// its objective.
+    /// Log the end of a request whose outcome is not `Done`, that was retried,
+    /// or that took longer than its objective.
     Log(Ended),
 }
 
@@ -389,6 +391,7 @@
     Behind,
     /// The data of all replicas is older than the read accepts.
     Old,
-    /// The replicas that qualify have no free slot.
+    /// The replicas that qualify have no free slot. In an unfenced group, counted
+    /// for every read that the primary serves.
     Busy,
 }
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -49,8 +49,8 @@
         self.drain(key, out);
     }
 
-    /// Logs the end of a request that failed, was retried, or took longer than
-    /// its objective.
+    /// Logs the end of a request whose outcome is not `Done`, that was retried,
+    /// or that took longer than its objective.
     fn log_end(
         &self,
         now: Instant,
--- a/components/keeper/src/flaw.rs
+++ b/components/keeper/src/flaw.rs
@@ -1,7 +1,7 @@
-//! Deliberate violations of a rule, with which tests show that their checks
-//! detect it.
+//! Deliberate violations of rules, with which tests show that their checks
+//! detect such violations.
 
-/// A rule that is violated.
+/// A deliberate violation of a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumIter, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Flaw {
--- a/components/keeper/src/group.rs
+++ b/components/keeper/src/group.rs
@@ -29,7 +29,9 @@
 /// Initial and maximum backoff before a retry or a reconnect after a failure.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
 
-/// Queues of requests that wait for a slot, by the server role that they need.
+/// Queues of requests that wait for a slot: `primary` and `replica` by the server
+/// role that the requests need, and `spare` for reads that run on the primary
+/// only while `primary` is empty.
 #[derive(Debug, Default)]
 pub(crate) struct Lanes {
     pub(crate) primary: Queue<Key<Service>, Key<Request>>,
@@ -179,9 +181,9 @@
         self.servers.iter().find(|(_, server)| server.name == *name).map(|(key, _)| key)
     }
 
-    /// Returns the server that reports to be the primary in the highest term,
-    /// and that term. In an unfenced group, returns the primary that control
-    /// names.
+    /// Returns the configured server that reports the primary role in the
+    /// highest term, and that term. In an unfenced group, returns the primary
+    /// that control names, and the last term that its answers reported.
     pub(crate) fn primary(&self) -> Option<(Key<Server>, Term)> {
         if self.is_unfenced() {
             return self.control_named_primary();
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -1,5 +1,6 @@
-//! The half of an entry (a proxy process) that owns the connections to backend
-//! servers. The other half, the front, owns the connections of callers.
+//! The keeper: the half of an entry (a proxy process) that owns the connections
+//! to backend servers. The other half, the front, owns the connections of
+//! callers.
 //!
 //! A [`Group`] makes the decisions for one database group: which request runs
 //! next and on which server, when its answer may be released, and the outcome
--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -39,7 +39,7 @@
     pub(crate) verified: Option<Sample>,
     /// End of background sampling for reads that accept a bounded age.
     age_reads_until: Instant,
-    /// Smallest age that these reads accept.
+    /// Smallest age accepted by the reads that keep background sampling running.
     age: Duration,
 }
 
@@ -237,8 +237,9 @@
         })
     }
 
-    /// Replicas that show the data a read needs, each with the mark that it is
-    /// certain to show.
+    /// Replicas that show the data a read needs, each with the mark that a read
+    /// there is certain to see. In an unfenced group, includes replicas that are
+    /// expected to show the mark soon, since the read waits there for the mark.
     fn qualified(
         &self,
         now: Instant,
--- a/components/keeper/src/unfenced.rs
+++ b/components/keeper/src/unfenced.rs
@@ -21,8 +21,8 @@
 use crate::request::{Completion, Lane, Request, Stage};
 use crate::server::Server;
 
-/// Time that running statements have to finish when a leaving primary is
-/// replaced.
+/// Time that running statements and open transactions have to finish when a
+/// leaving primary is replaced.
 const SEAL_GRACE: Duration = Duration::from_millis(300);
 
 /// Minimum time between two stored samples.
--- a/components/keeper/src/unfenced/stall.rs
+++ b/components/keeper/src/unfenced/stall.rs
@@ -18,14 +18,16 @@
 const STATEMENT_STALL: Duration = Duration::from_millis(450);
 
 /// Time without an answer after which a read is aborted on its replica and
-/// retried on another server.
+/// retried, and after which the reading of a position for a sample is aborted. A
+/// server with an aborted statement is considered silent if it has answered
+/// nothing for this time, so that the retry goes to another server.
 const READ_STALL: Duration = Duration::from_millis(400);
 
 /// Multiple of the typical run time within which a read is not aborted.
 const SLOW_READ_FACTOR: u32 = 8;
 
-/// Factor by which the limit is raised on a server that answers other
-/// statements.
+/// Factor by which the time limit of a statement is raised if its server has
+/// answered something else since the statement was sent.
 const RESPONSIVE_FACTOR: u32 = 3;
 
 /// Time for which an unanswered commit counts as a symptom of the primary.
--- a/components/keeper/tests/fuzz/world/fault.rs
+++ b/components/keeper/tests/fuzz/world/fault.rs
@@ -34,8 +34,9 @@
         self.unreachable[(index + 2) % SERVERS] = second;
     }
 
-    /// Partitions the primary and promotes another server. The group may still
-    /// reach the replica that follows the new primary.
+    /// Partitions the primary and promotes another server, which the group can't
+    /// reach. With `both`, the group can't reach the replica that follows the
+    /// new primary either.
     pub(super) fn replace_primary(&mut self, both: bool) {
         let leads = |server: &Server| server.alive && server.role == Role::Primary;
         let primaries = (0..SERVERS).filter(|index| leads(&self.servers[*index]));
--- a/components/keeper/tests/unfenced/bench.rs
+++ b/components/keeper/tests/unfenced/bench.rs
@@ -68,8 +68,8 @@
 }
 
 impl Bench {
-    /// A group of a primary and two replicas that holds its lease. No
-    /// connection is open yet.
+    /// A group of a primary and two replicas. The entry holds its own lease and
+    /// the lease on the group. No connection is open yet.
     pub fn new() -> Self {
         let group = Group::new(name("group"), name("zone"), 1);
         let now = Instant::from_millis(10_000);
--- a/components/keeper/tests/unfenced/main.rs
+++ b/components/keeper/tests/unfenced/main.rs
@@ -92,7 +92,7 @@
         })
         .collect();
     assert_eq!(asked.len(), 1);
-    assert!(bench.sent().is_empty(), "no server is known to show enough");
+    assert!(bench.sent().is_empty(), "the mark that the read needs is not known yet");
     bench.report(asked[0], b'I', None, Mark::new(1, 160));
     let (_, server, _, wait) = bench.sent()[0].clone();
     assert_ne!(server, "server-0");
--- a/components/keeper/tests/unfenced/overload.rs
+++ b/components/keeper/tests/unfenced/overload.rs
@@ -102,7 +102,7 @@
     let mut refused = 0;
     for Finished { end, arrived, took } in &ends {
         if end.outcome() == Outcome::Done {
-            // the objective, the run time and the step of the clock; the run time is only known
+            // the objective, the run time and two steps of the clock; the run time is only known
             // after the first reads
             let known = *arrived >= Duration::from_millis(500);
             assert!(!known || *took <= Duration::from_millis(100 + 40 + 20), "{took:?}");
--- a/components/keeper/tests/unfenced/reach.rs
+++ b/components/keeper/tests/unfenced/reach.rs
@@ -55,7 +55,8 @@
 fn a_server_is_tried_again_after_a_late_connection_failure_although_other_connections_are_open() {
     let mut bench = Bench::ready();
     let before = bench.conns.len();
-    // the last connection attempt of a network failure fails after a later one has succeeded
+    // a connection attempt made during a network failure times out after a later attempt has
+    // succeeded
     for server in ["server-1", "server-2"] {
         bench.feed(Event::Unreachable { server: name(server), outage: Outage::Silent });
     }
--- a/components/route/src/lib.rs
+++ b/components/route/src/lib.rs
@@ -86,11 +86,11 @@
 pub struct Need {
     /// Newest mark that the session has written or read.
     pub floor: Option<Mark>,
-    /// Earliest time of a sample that is fresh enough; none if the floor suffices.
+    /// Earliest time of a sample that is fresh enough; `None` if the floor suffices.
     pub since: Option<Instant>,
 }
 
-/// Checks whether reads on a server meet a requirement. Returns none if they don't, and
+/// Checks whether reads on a server meet a requirement. Returns `None` if they don't, and
 /// otherwise the mark up to which a read is guaranteed to see all writes, if one is known.
 pub fn qualify(status: &Status, need: Need, ring: &Ring) -> Option<Option<Mark>> {
     if need.floor.is_some_and(|floor| !status.shows(floor)) {
@@ -110,7 +110,7 @@
     pub server: K,
     /// Whether the server is in the availability zone of the host that routes the read.
     pub same_zone: bool,
-    /// Number of free connection slots on the server.
+    /// Number of free slots for statements on the server.
     pub free: u32,
     /// Number of statements that wait for the server.
     pub waiting: u32,
--- a/components/session/src/floors.rs
+++ b/components/session/src/floors.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Raises each floor to that of other floors, where those are higher.
+    /// Raises the floor for each group to the floor in `other`, where that one is higher.
     pub fn merge(&mut self, other: &Self) {
         for (group, mark) in &other.marks {
             self.raise(group, *mark);
