--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -296,13 +296,13 @@
         !self.lanes.primary.is_empty() || self.requests.iter().any(|(_, request)| waits(request))
     }
 
-    /// Number of slots on a primary that this keeper may use for reads.
+    /// Number of slots on a primary that this keeper may use for reads: its
+    /// share, but at least one.
     pub(crate) fn spare_slots(&self, primary: Key<Server>) -> u32 {
         self.servers.get(primary).map_or(0, |server| server.share).max(1)
     }
 
-    /// Number of slots on a server that can be used without opening a
-    /// connection.
+    /// Number of free slots on a server, or 0 if no connection to it is idle.
     pub(crate) fn ready_slots(&self, key: Key<Server>) -> u32 {
         if self.idle(key).is_some() { self.free_slots(key) } else { 0 }
     }
