--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -39,7 +39,7 @@
     pub(crate) verified: Option<Sample>,
     /// End of background sampling for reads that accept a bounded age.
     age_reads_until: Instant,
-    /// Smallest age that these reads accept.
+    /// Smallest age accepted by the reads that keep background sampling running.
     age: Duration,
 }
 
@@ -237,8 +237,9 @@
         })
     }
 
-    /// Replicas that show the data a read needs, each with the mark that it is
-    /// certain to show.
+    /// Replicas that show the data a read needs, each with the mark that a read
+    /// there is certain to see. In an unfenced group, includes replicas that are
+    /// expected to show the mark soon, since the read waits there for the mark.
     fn qualified(
         &self,
         now: Instant,
@@ -295,13 +296,13 @@
         !self.lanes.primary.is_empty() || self.requests.iter().any(|(_, request)| waits(request))
     }
 
-    /// Number of slots on a primary that this keeper may use for reads.
+    /// Number of slots on a primary that this keeper may use for reads: its
+    /// share, but at least one.
     pub(crate) fn spare_slots(&self, primary: Key<Server>) -> u32 {
         self.servers.get(primary).map_or(0, |server| server.share).max(1)
     }
 
-    /// Number of slots on a server that can be used without opening a
-    /// connection.
+    /// Number of free slots on a server, or 0 if no connection to it is idle.
     pub(crate) fn ready_slots(&self, key: Key<Server>) -> u32 {
         if self.idle(key).is_some() { self.free_slots(key) } else { 0 }
     }
