--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -265,7 +265,9 @@
         let (name, mut entry) = Entry::from_join(join).ok_or(Refusal::Malformed)?;
         entry.draining = self.drained.contains(&name);
         if entry.sole {
-            self.departed.retain(|(known, start), _| *known != name || *start >= entry.incarnation);
+            self.departed.retain(|(known, incarnation), _| {
+                *known != name || *incarnation >= entry.incarnation
+            });
         }
         match self.entries.entry(name) {
             Slot::Occupied(known) if known.get().incarnation > entry.incarnation => {
@@ -290,8 +292,8 @@
     /// entry unless a later incarnation has joined.
     fn leave(&mut self, index: u64, departure: &log::Leave) -> Result<Outcome, Refusal> {
         let name = Name::new(&departure.entry).map_err(|_malformed| Refusal::Malformed)?;
-        let start = (name, departure.incarnation);
-        let mut found = departure.over && self.departed.remove(&start).is_some();
+        let departed = (name, departure.incarnation);
+        let mut found = departure.over && self.departed.remove(&departed).is_some();
         let mut unaware = false;
         for group in self.groups.values_mut() {
             let held = group.leases.len();
@@ -305,7 +307,7 @@
             }
         }
         if unaware {
-            self.departed.insert(start, index);
+            self.departed.insert(departed, index);
         }
         let known = self.entries.get(departure.entry.as_str());
         if known.is_some_and(|entry| entry.incarnation <= departure.incarnation) {
--- a/components/control/src/choice.rs
+++ b/components/control/src/choice.rs
@@ -43,10 +43,10 @@
 ) -> Option<Choice> {
     let is_suitable = |name: &Name| Some(name) != avoided && !is_leaving(state, name);
     let suitable = fenced.keys().filter(|name| is_suitable(name)).count();
-    let zone = group.primary.as_ref().and_then(|primary| state.servers.get(primary));
+    let primary = group.primary.as_ref().and_then(|primary| state.servers.get(primary));
     let is_same_zone = |name: &Name| {
         let server = state.servers.get(name);
-        server.zip(zone).is_some_and(|(server, zone)| server.zone == zone.zone)
+        server.zip(primary).is_some_and(|(server, primary)| server.zone == primary.zone)
     };
     let rank = |name: &Name, fenced: &Fenced| {
         let last = match flaw {
