--- a/components/control/src/designation.rs
+++ b/components/control/src/designation.rs
@@ -101,6 +101,7 @@
     designated: Option<Instant>,
     /// Term of the chosen server, and since when the leader waits for it to lead.
     chosen: Option<(Term, Instant)>,
+    /// Since when servers of a new group report their status, none as the primary.
     bootstrap_since: Option<Instant>,
     /// Newest established term, and when the leader first saw it established.
     established: Option<(Term, Instant)>,
--- a/components/control/src/detector.rs
+++ b/components/control/src/detector.rs
@@ -1,8 +1,9 @@
 //! Failure detector: decides whether a group needs another primary.
 //!
-//! A single observer is not enough, since the observer itself may be
-//! partitioned. A primary that answers and whose replicas hear its heartbeats is
-//! never replaced for being slow.
+//! Silence towards a single observer is not enough, since the observer itself may
+//! be partitioned. Repeatedly refused connections are enough, since they show that
+//! no process listens. A primary that answers and whose replicas hear its heartbeats
+//! is never replaced for being slow.
 
 use std::collections::BTreeMap;
 
@@ -60,7 +61,8 @@
         self.unhealthy(now, primary, term).next().is_some()
     }
 
-    /// Keepers that report the primary of a term as unhealthy, each with its finding.
+    /// Keepers that report the primary of a term as unhealthy, each with the
+    /// condition that it reported.
     pub(crate) fn unhealthy(
         &self,
         now: Instant,
--- a/components/control/src/failover.rs
+++ b/components/control/src/failover.rs
@@ -10,13 +10,13 @@
 //!
 //! 1. `Intend(T)`, with T above every known term.
 //! 2. Fence all seats at T; continue once a majority is fenced at exactly T.
-//! 3. `Choose` the fenced server with the longest log, by [`choice`].
+//! 3. `Choose` the fenced server with the most up-to-date log, by [`choice`].
 //! 4. Promote that server, and order the others to follow it.
 //! 5. `Establish` once a majority reports T as its term and log term.
 //!
-//! Any failure after the first step restarts the failover there at a higher term,
-//! and so does a leader that finds an unfinished failover. If a group elects its
-//! own primary, the leader only adopts that primary.
+//! Any failure after the first step restarts the failover at the first step with a
+//! higher term, and so does a leader that finds an unfinished failover. If a group
+//! elects its own primary, the leader only adopts that primary.
 //!
 //! [`choice`]: crate::choice
 
@@ -58,7 +58,9 @@
 /// Time between two steps of a healthy group while no command is applied.
 const HEALTHY_STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for which a new group may elect a primary by itself before a failover begins.
+/// Time for which the leader waits, once a majority of a new group is reachable, for
+/// an existing primary to gain a majority, or for the other servers to report, before
+/// a failover begins.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after a term was established during which the replicas' silence is ignored.
@@ -322,7 +324,8 @@
     }
 
     /// Gives a new group its primary: orders the servers to follow the primary of
-    /// the highest term, or begins a failover if none appears in time.
+    /// the highest term, or begins a failover if all servers report and none is that
+    /// primary, or once [`BOOTSTRAP_TIMEOUT`] has passed.
     fn bootstrap(&mut self, context: &Context<'_>, out: &mut Vec<Effect>) {
         let now = context.now;
         let reports = self.watches.fresh(now).count();
--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -1,8 +1,8 @@
 //! Decisions of the leading member.
 //!
-//! A leader stores nothing: each election creates a new one, which learns all that
-//! the replicated state does not contain anew from heartbeats, announcements and
-//! probes. The host of a leader passes events to it, proposes the commands that it
+//! A leader stores nothing: each election creates a new leader, which learns from
+//! heartbeats, announcements and probes all that the replicated state does not
+//! contain. The host of a leader passes events to it, proposes the commands that it
 //! requests, and executes its probes.
 
 use std::collections::{BTreeMap, VecDeque};
--- a/components/control/src/liveness.rs
+++ b/components/control/src/liveness.rs
@@ -1,7 +1,7 @@
 //! Tracks which entries are alive, by their heartbeats.
 //!
 //! A lease of an entry may be in force until [`LEASE_DURATION`] after the entry
-//! sent the heartbeat that renewed it, so an incarnation is removed only once
+//! sent the heartbeat that renewed it, so a silent incarnation is removed only once
 //! [`LEASE_DURATION`] plus [`LEASE_MARGIN`] passed since its last heartbeat. A new
 //! leader knows nothing of earlier heartbeats and counts from its own start. The
 //! state lists the incarnations that were removed and may not know it yet.
--- a/components/control/src/planner.rs
+++ b/components/control/src/planner.rs
@@ -5,7 +5,7 @@
 //!
 //! - A lease that an entry must lose is first marked as returning. Its shares
 //!   are granted again only after the entry reported that it released them, in
-//!   a heartbeat sent after it had applied the mark, or after it was removed.
+//!   a heartbeat sent after it had applied the mark, or after the entry was removed.
 //! - A share grows only while every holder has applied the last reduction of
 //!   its lease, so that none still relies on an earlier, larger share, and while
 //!   no lease of a removed entry may still be in force.
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Whether a group has leases, or has waited for [`JOIN_WAIT`] without any.
+    /// Whether the leases of a group may be planned: the group has leases, no entry is
+    /// alive, or the group has waited for [`JOIN_WAIT`].
     fn is_ready(&mut self, now: Instant, state: &State, name: &Name, group: &Group) -> bool {
         if !group.leases.is_empty() || state.entries.is_empty() {
             self.empty.remove(name);
--- a/components/control/src/renewals.rs
+++ b/components/control/src/renewals.rs
@@ -77,7 +77,7 @@
         self.servers.entry(name).or_insert(fresh)
     }
 
-    /// Expires the servers whose last announcement is older than [`ANNOUNCE_TIMEOUT`].
+    /// Proposes to expire the servers whose last announcement is older than [`ANNOUNCE_TIMEOUT`].
     pub fn tick(&mut self, now: Instant, state: &State, out: &mut Vec<Effect>) {
         for (name, server) in state.servers.iter().filter(|(_, server)| !server.expired) {
             let renewal = self.renewal(now, name.clone());
--- a/components/control/src/split.rs
+++ b/components/control/src/split.rs
@@ -19,10 +19,10 @@
     pub may_grow: bool,
 }
 
-/// Share of each keeper in `held`. An odd unit goes to the first keeper at even
-/// values of `turn` and to the second at odd ones; a keeper that already holds
-/// half of the limit, rounded down or up, keeps its share. The whole limit is due
-/// to a single keeper.
+/// Share of each keeper in `held`. `turn` is the index of the server's seat: an odd
+/// unit goes to the first keeper at even values and to the second at odd ones. A
+/// keeper that already holds half of the limit, rounded down or up, keeps its
+/// share. The whole limit is due to a single keeper.
 pub fn split(allocation: &Allocation, turn: usize) -> SmallVec<[u32; KEEPERS_PER_GROUP]> {
     let mut shares = allocation.held.clone();
     let held: u32 = shares.iter().sum();
--- a/components/control/src/state.rs
+++ b/components/control/src/state.rs
@@ -35,8 +35,8 @@
     pub servers: BTreeMap<Name, Server>,
     /// Entries that are alive, by name.
     pub entries: BTreeMap<Name, Entry>,
-    /// Entries and incarnations that were removed while they held leases, each
-    /// with the index of the removal: they may not know of it yet.
+    /// Incarnations of entries that were removed while they held leases and may not
+    /// know of their removal yet, each with the index of the removal.
     pub departed: BTreeMap<(Name, u64), u64>,
     /// Entries that an operator drains, whether they are alive or not.
     pub drained: BTreeSet<Name>,
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -83,8 +83,9 @@
         self.failed.is_none_or(|(_, at)| now.since(at) >= wait)
     }
 
-    /// Whether the newest report shows the server in `term`, and with at most
-    /// `silence_limit` since the primary's last heartbeat.
+    /// Whether no probe has failed since the newest report, and the report shows the
+    /// server in `term` and with at most `silence_limit` since the primary's last
+    /// heartbeat.
     pub fn is_healthy(&self, term: Term, silence_limit: Duration) -> bool {
         let well = |status: &Status| {
             status.term == term && status.log_term == term && status.silence <= silence_limit
--- a/components/quorum/src/event.rs
+++ b/components/quorum/src/event.rs
@@ -95,7 +95,7 @@
     Read {
         /// Unique token of the read.
         token: u64,
-        /// Note that the leader must receive before it confirms the read.
+        /// Opaque bytes that are delivered to the leader before it confirms the read.
         note: Option<Bytes>,
     },
     /// Application state at an applied index, as a snapshot for log compaction.
@@ -144,9 +144,10 @@
         /// Unique token of the read.
         token: u64,
     },
-    /// Note of a read, at the leader, before the read is confirmed.
+    /// Note of a read, reported at the leader before the read is confirmed.
     Noted(Bytes),
-    /// Loss of a proposal.
+    /// End of waiting for a proposal. Unless `not_run` is set, the proposal may have
+    /// been committed or may still be.
     Dropped {
         /// Unique token of the proposal.
         token: u64,
--- a/components/quorum/tests/fuzz/main.rs
+++ b/components/quorum/tests/fuzz/main.rs
@@ -15,7 +15,7 @@
 
 use quorum::Flaw;
 
-/// Number of schedules in a CI run.
+/// Number of schedules, unless `TREFOIL_FUZZ_SCHEDULES` is set.
 const SCHEDULES: u64 = 300;
 
 /// Number of threads that share the schedules.
@@ -77,7 +77,8 @@
     panic!("{flaw} was not detected in {FLAW_SCHEDULES} schedules");
 }
 
-/// Failures that a lost or replaced committed entry can cause.
+/// Parts of the failure messages that report a lost or replaced committed entry, or
+/// two leaders in one term.
 const SAFETY_FAILURES: [&str; 4] = ["changed", "two leaders", "differs", "past a gap"];
 
 #[test]
--- a/components/quorum/tests/fuzz/oracle.rs
+++ b/components/quorum/tests/fuzz/oracle.rs
@@ -27,7 +27,7 @@
     pub confirmed: u64,
 }
 
-/// Digest (FNV-1a) of a list of entries: extends the digest of the list before by an entry.
+/// Digest (FNV-1a) of a list of entries, from the digest `before` of all but the last entry.
 pub fn digest(before: u64, entry: &Entry) -> u64 {
     let body = match &entry.body {
         Some(entry::Body::Command(bytes)) => format!("{bytes:?}"),
