--- a/components/entry/src/front/keepers.rs
+++ b/components/entry/src/front/keepers.rs
@@ -151,7 +151,7 @@
     }
 
     /// Announces on each link that this front sends no new requests.
-    pub async fn send_farewell(&self) {
+    pub async fn send_shutdown(&self) {
         let links: Vec<_> = self.slots().values().filter_map(|slot| slot.live()).collect();
         for link in links {
             link.send(ask::Body::Shutdown(Shutdown {})).await;
--- a/components/entry/src/front/mod.rs
+++ b/components/entry/src/front/mod.rs
@@ -234,7 +234,7 @@
         let disconnected = self.callers.len();
         self.kill.cancel();
         self.callers.wait().await;
-        self.front.keepers.send_farewell().await;
+        self.front.keepers.send_shutdown().await;
         disconnected
     }
 
