--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -127,11 +127,11 @@
         self.confirmed
     }
 
-    /// Collects the groups that were given up in `given_up`, and removes those whose
-    /// leases are no longer returning according to the state. Must be called after
-    /// each change of the state: otherwise a group that is leased to this entry
-    /// again, and whose new lease is then taken back, would still be listed as given
-    /// up. Returns the index of the state that was read.
+    /// Adds to `given_up` the groups whose leases were given up since the last call,
+    /// and removes from it those whose leases are no longer returning according to the
+    /// state. Must be called after each change of the state: otherwise a group that is
+    /// leased to this entry again, and whose new lease is then taken back, would still
+    /// be listed as given up. Returns the index of the state that was read.
     pub fn collect_given_up(&self, view: &View, given_up: &mut Vec<Name>) -> u64 {
         for group in view.take_returned() {
             if !given_up.contains(&group) {
--- a/components/entry/src/front/admit.rs
+++ b/components/entry/src/front/admit.rs
@@ -48,7 +48,8 @@
 ///
 /// A request runs under [`Rule::UNDECLARED`] if its texts have different rules, if a
 /// statement affects its transaction (such as BEGIN, COMMIT, ROLLBACK TO or CALL) or
-/// is allowed only within one, or if a text holds several statements and no tag.
+/// is allowed only within one, or if a text holds several statements and no tag
+/// that names its kind.
 ///
 /// # Errors
 /// As [`check_access`].
--- a/components/entry/src/front/attempt.rs
+++ b/components/entry/src/front/attempt.rs
@@ -16,9 +16,10 @@
 /// Result of one attempt at a keeper.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Attempt {
-    /// The keeper sent the end of the answer.
+    /// The keeper sent the end of the answer, or the front made an end because no keeper
+    /// finished the request.
     Ended {
-        /// Outcome and reason as the keeper reported them.
+        /// Outcome and reason, as the keeper or the front reports them.
         end: End,
         /// Whether a part of the answer was forwarded to the caller.
         forwarded: bool,
@@ -116,7 +117,9 @@
     end.outcome() == Outcome::NotRun && transient
 }
 
-/// Returns the error for the caller, or `None` if the request is done.
+/// Returns the error for the caller, or `None` if the request is done. `within` is
+/// whether the request belongs to an open transaction, and `commits` whether it may
+/// commit a transaction.
 ///
 /// A transaction whose keeper is lost is rolled back at the backend server, unless
 /// the lost request may have committed it.
--- a/components/entry/src/front/choose.rs
+++ b/components/entry/src/front/choose.rs
@@ -18,7 +18,8 @@
 
 /// Keepers of a group that accept new requests, in the order in which they are to
 /// be tried: the `own` entry, then keepers in the same availability zone, then the
-/// others, each by a hash that spreads callers evenly. Draining entries are last.
+/// others. Keepers of equal rank are ordered by a hash of name and session number
+/// `caller`, which spreads callers evenly. Draining entries are last.
 pub fn rank_keepers(
     state: &State,
     group: &str,
--- a/components/entry/src/front/dispatch.rs
+++ b/components/entry/src/front/dispatch.rs
@@ -59,7 +59,8 @@
 pub(super) struct Dispatch<'a, S> {
     pub(super) front: &'a Front,
     /// Number of the session at keepers. The session gets a new number when a keeper
-    /// is lost, so that no later request continues what the old number left there.
+    /// is lost, so that no later request continues a session that the keeper may still
+    /// hold under the old number.
     pub(super) number: &'a mut u64,
     pub(super) class: Class,
     pub(super) started: Instant,
--- a/components/entry/src/front/keepers.rs
+++ b/components/entry/src/front/keepers.rs
@@ -15,8 +15,8 @@
 use super::choose::Keeper;
 use super::link::{Link, NotSent};
 
-/// Delay before a keeper is dialled again after the first failure; it doubles with
-/// each further one.
+/// Delay before a keeper is dialled again after the first failure; the delay doubles
+/// with each further failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(20);
 
 /// Longest delay before a keeper is dialled again.
@@ -73,7 +73,8 @@
     /// Returns the link to a keeper, and dials the keeper if there is no live link.
     ///
     /// # Errors
-    /// [`NotSent`] if dialling fails, or if the delay after a failure has not passed.
+    /// [`NotSent`] if dialling fails, if the peer at the address is not this keeper, or
+    /// if the delay after a failure has not passed.
     pub async fn link(&self, keeper: &Keeper) -> Result<Arc<Link>, Report<NotSent>> {
         let slot = Arc::clone(self.slots().entry(keeper.address).or_default());
         if let Some(link) = slot.live() {
--- a/components/entry/src/front/metrics.rs
+++ b/components/entry/src/front/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::registry::{Registry, Unit};
 use wire::data::End;
 
-/// Labels of a cycle that ended at a keeper.
+/// Labels of a cycle or plain statement, from its final end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CycleLabels {
     outcome: String,
@@ -21,7 +21,8 @@
 /// Metrics of a front.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Number of callers that are logged in.
+    /// Number of PostgreSQL callers that are logged in, or of open connections of plain
+    /// callers.
     pub callers: Gauge,
     cycles: Family<CycleLabels, Counter>,
     seconds: Family<StatementLabels, Histogram, fn() -> Histogram>,
@@ -71,7 +72,8 @@
         self.seconds.get_or_create(&labels).observe(time.as_secs_f64());
     }
 
-    /// Counts a cycle that ended at a keeper.
+    /// Counts a cycle or plain statement by its final end, which comes from the keeper, or
+    /// from the front if no keeper finished the request.
     pub fn record_cycle(&self, end: &End) {
         let labels = CycleLabels {
             outcome: end.outcome().to_string(),
--- a/components/entry/src/front/mod.rs
+++ b/components/entry/src/front/mod.rs
@@ -1,8 +1,9 @@
 //! The caller side of an entry.
 //!
-//! Each caller has one task. The task groups the caller's messages into cycles,
-//! looks up in the declarations how each cycle may be run, sends it to a keeper
-//! of the database group and forwards the answer.
+//! Each caller has one task. The task of a PostgreSQL caller groups the caller's
+//! messages into cycles, each of which is answered up to one ReadyForQuery. The task
+//! looks up in the declarations how each cycle or plain statement may be run, sends it
+//! to a keeper of the database group and forwards the answer.
 //!
 //! - [`conn`]: the connection of a PostgreSQL caller.
 //! - [`login`]: startup and authentication of a PostgreSQL caller.
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -36,10 +36,11 @@
     pub zone: Name,
     /// Incarnation of the entry; each start of the entry raises it.
     pub incarnation: u64,
-    /// Whether the host starts an entry only after the earlier one has ended.
+    /// Whether the host starts the entry only after its previous process has ended.
     pub sole: bool,
     /// Capacity of the host relative to the hosts of other entries. Only entries with
-    /// at least half of the greatest weight keep groups, unless these are too few.
+    /// at least half of the greatest weight keep groups, unless there are too few such
+    /// entries.
     pub weight: u32,
     /// Listen address for callers; port 0 takes a free port.
     pub callers: SocketAddr,
@@ -53,9 +54,9 @@
     pub key: Key,
     /// File with the users that may log in; without a file each login is trusted.
     pub users: Option<PathBuf>,
-    /// Certificate and key files for TLS towards callers; none disables TLS.
+    /// Certificate and key files for TLS towards callers; `None` disables TLS.
     pub tls: Option<Tls>,
-    /// Protocol for plain statements, spoken with callers and backend servers; none
+    /// Protocol for plain statements, spoken with callers and backend servers; `None`
     /// if they speak PostgreSQL.
     pub dialect: Option<Arc<dyn Dialect>>,
     /// Logger for events of the entry.
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -27,7 +27,8 @@
 /// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Timeout for sending the last answers of a graceful shutdown.
+/// Longest wait in a graceful shutdown for the announcements of the fronts and for
+/// the last answers to be sent.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// All open links.
@@ -46,7 +47,8 @@
     requests: Mutex<HashMap<u64, Arc<Shard>>>,
     /// Task that reads from the link; aborting it closes the link.
     task: Mutex<Option<AbortHandle>>,
-    /// Whether the front has announced that it sends no more requests.
+    /// Whether the front has announced that it sends no more requests, except those of
+    /// open transactions.
     shutdown: AtomicBool,
 }
 
@@ -103,8 +105,9 @@
         }
     }
 
-    /// Waits until each front has announced that it sends no more requests, so
-    /// that no request is lost in transit, and the writers have taken all answers.
+    /// Waits until each front has announced that it sends no new requests, so that no
+    /// request is lost in transit, and the writers have taken all answers; waits no
+    /// longer than [`FINISH_TIMEOUT`].
     pub(super) async fn finish(&self) {
         let is_busy = || lock(&self.links).values().any(|link| link.is_busy());
         let all = async {
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -231,9 +231,10 @@
                 }
             }
             Effect::Report(symptom) => {
-                let sight = symptom.condition().to_string();
+                let condition = symptom.condition().to_string();
                 let (server, term) = (symptom.server.as_str(), symptom.term);
-                Symptom { group: &self.name, server, condition: &sight, term }.log(&self.host.log);
+                Symptom { group: &self.name, server, condition: &condition, term }
+                    .log(&self.host.log);
                 self.host.view.report(symptom);
             }
             Effect::Seal { term, mark, index } => {
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{Notify, mpsc, watch};
 use wire::control::{Seal, Symptom};
 
-/// Length of the queue of symptoms for the link to control; when it is full, more
-/// are dropped, and a keeper that still sees a symptom reports it again.
+/// Length of the queue of symptoms for the link to control. While the queue is full,
+/// new symptoms are dropped; a keeper reports a symptom again while it persists.
 const SYMPTOM_QUEUE: usize = 256;
 
 /// Shared handle to the control state as this entry has applied it.
@@ -29,9 +29,10 @@
     lease_until: AtomicU64,
     /// Notified when the lease is extended.
     lease_extended: Notify,
-    /// Groups given up since the last call of [`View::take_returned`].
+    /// Groups whose leases were given up since the last call of
+    /// [`View::take_returned`].
     returned: Mutex<Vec<Name>>,
-    /// Notified when a group is given up.
+    /// Notified when the lease of a group is given up.
     given_up: Notify,
     /// Newest seal of each group: the report to control that the keeper has ended its
     /// work for the earlier primaries of the group.
@@ -109,8 +110,8 @@
         drop(self.symptoms.try_send(symptom));
     }
 
-    /// Records that a returning lease is given up: the keeper has closed all
-    /// connections of the group.
+    /// Records that the returning lease of a group is given up: the keeper has closed
+    /// all connections of the group.
     pub fn give_up(&self, group: Name) {
         let mut returned = self.shared.returned.lock().unwrap_or_else(PoisonError::into_inner);
         if !returned.contains(&group) {
@@ -140,12 +141,12 @@
         seals.values().cloned().collect()
     }
 
-    /// Waits until a group is given up.
+    /// Waits until the lease of a group is given up.
     pub async fn wait_for_given_up(&self) {
         self.shared.given_up.notified().await;
     }
 
-    /// Returns the groups given up since the last call.
+    /// Returns the groups whose leases were given up since the last call.
     pub fn take_returned(&self) -> Vec<Name> {
         let mut returned = self.shared.returned.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut returned)
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -296,8 +296,9 @@
 }
 
 /// Runs statements against keepers with random faults. The outcome that the caller
-/// gets must agree with how often the statement ran: once if it succeeded, never if
-/// it was reported as not run.
+/// gets must agree with how often the statement ran: never if it was reported as not
+/// run, once if a write succeeded, and at most once if the outcome of a write is
+/// unknown. A read may run several times.
 #[tokio::test]
 async fn the_reported_outcome_matches_what_ran() {
     let schedules = std::env::var("TREFOIL_FUZZ_SCHEDULES");
