--- a/components/journal/src/store.rs
+++ b/components/journal/src/store.rs
@@ -23,7 +23,8 @@
     Corrupt {
         /// Name of the file.
         file: String,
-        /// Offset of the first corrupt byte.
+        /// Offset of the first invalid frame, in bytes; zero if a snapshot or the id is
+        /// invalid, or if entries are missing.
         offset: u64,
     },
     /// An earlier write failed; the journal must be opened again.
--- a/components/journal/tests/fake/mod.rs
+++ b/components/journal/tests/fake/mod.rs
@@ -7,6 +7,7 @@
 use arbtest::arbitrary::{self, Unstructured};
 use journal::Disk;
 
+/// Index in [`Inner::files`] of each file, by file name.
 type Names = BTreeMap<String, usize>;
 
 #[derive(Clone, Debug, Default)]
--- a/components/link/src/frame.rs
+++ b/components/link/src/frame.rs
@@ -34,7 +34,7 @@
         Self { io, buffer: BytesMut::with_capacity(READ_BYTES) }
     }
 
-    /// Returns the number of bytes received of an incomplete frame.
+    /// Returns the number of received bytes that are not decoded yet.
     pub fn pending(&self) -> usize {
         self.buffer.len()
     }
--- a/components/link/src/socket.rs
+++ b/components/link/src/socket.rs
@@ -1,4 +1,5 @@
-//! Socket options set on every connection of the system.
+//! TCP socket options, set on links and on connections that use the plain protocol, the
+//! alternative to the PostgreSQL protocol.
 
 use std::io;
 
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -73,13 +73,14 @@
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Condition {
-    /// The server answers and its replicas keep up.
+    /// None of the other conditions is observed.
     Healthy = 0,
     /// The server refuses connections: its process is gone.
     Refused = 1,
     /// The server does not answer.
     Silent = 2,
-    /// The server answers, but a majority of its replicas have lost contact with it.
+    /// The server answers, but a majority of its replicas have lost contact with it or,
+    /// in an unfenced group, a commit on it has stalled.
     CutOff = 3,
 }
 
--- a/components/wire/src/data.rs
+++ b/components/wire/src/data.rs
@@ -202,9 +202,9 @@
 pub enum Outcome {
     /// Outcome that this release does not know; never sent.
     Missing = 0,
-    /// The request ran, and its commit, if any, is acknowledged by a majority. A
-    /// request whose statement failed is done too: the answer contains the server's
-    /// error.
+    /// The request ran, and its commit, if any, is acknowledged by a majority of the
+    /// group or, in an unfenced group, by the primary itself. A request whose statement
+    /// failed is done too: the answer contains the server's error.
     Done = 1,
     /// The request did not run, or all its effects are known to be undone.
     NotRun = 2,
--- a/components/wire/src/log.rs
+++ b/components/wire/src/log.rs
@@ -150,8 +150,9 @@
     pub sequence: u64,
 }
 
-/// Records that a backend server is gone. A server that has a seat in its group stays
-/// in the control state, marked as expired, unless `left` is set.
+/// Records that a backend server is gone. A server that has a seat in its group (a place
+/// among the declared number of servers, over which a majority is counted) stays in the
+/// control state, marked as expired, unless `left` is set.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Expire {
     /// Name of the server.
@@ -307,8 +308,8 @@
     /// Name of the entry.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// Whether the entry is drained: an entry that holds no leases and accepts no
-    /// callers.
+    /// Whether the entry is drained, which means that the entry is assigned no leases
+    /// and reports that it is not ready for callers; false resumes the entry.
     #[prost(bool, tag = "2")]
     pub on: bool,
 }
--- a/components/wire/src/quorum.rs
+++ b/components/wire/src/quorum.rs
@@ -3,6 +3,9 @@
 //! A link between members carries one [`Hello`] in each direction and then
 //! [`Message`]s from the dialer, whose arrival the acceptor confirms by empty
 //! `Hello`s. Loss, duplication and reordering of messages are harmless.
+//!
+//! In this module, [`Entry`] is an entry of the log. The entries that send heartbeats,
+//! symptoms and seals are proxy processes, which follow the log through a member.
 
 use bytes::Bytes;
 
@@ -348,7 +351,8 @@
 }
 
 /// Reports of entries, backend servers and new hosts that a member forwards to the
-/// leader. The source of each report repeats it, so a lost message is harmless.
+/// leader. A lost message is harmless: each source repeats its report, except for the
+/// stop of an entry, which the leader notices by the missing heartbeats.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Forward {
     /// Announcements of backend servers.
