--- a/components/member/src/api.rs
+++ b/components/member/src/api.rs
@@ -36,7 +36,7 @@
 pub struct Edition {
     /// Number of the edition; zero if there is none.
     pub number: u64,
-    /// Source document of the edition, packed.
+    /// Source document of the edition, compressed by [`pack`].
     pub(crate) packed: Bytes,
 }
 
@@ -44,7 +44,7 @@
     /// Source document of the edition.
     ///
     /// # Errors
-    /// [`Malformed`] if the stored bytes are not a packed document.
+    /// [`Malformed`] if the stored bytes are not a compressed document.
     pub fn document(&self) -> Result<Vec<u8>, Report<Malformed>> {
         pack::unpack(&self.packed)
     }
--- a/components/member/src/core.rs
+++ b/components/member/src/core.rs
@@ -50,11 +50,15 @@
 pub(crate) struct Core {
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
+    /// Description of this member.
     pub(crate) own: Member,
     /// Whether this member has neither log entries nor a snapshot.
     pub(crate) fresh: Arc<AtomicBool>,
+    /// Quorum state machine of this member, with its copy of the log.
     pub(crate) replica: Replica,
+    /// Control state after the last applied log entry.
     pub(crate) state: State,
+    /// Term and leader of the quorum, as last reported by `replica`.
     pub(crate) leadership: Leadership,
     /// Control leader, present while this member leads and has applied a log entry
     /// of its own term.
@@ -135,7 +139,7 @@
             self.send_applied();
             self.flush_forward();
         }
-        info!(self.log, "planned stop completed");
+        info!(self.log, "the member stops");
     }
 
     /// Whether a planned stop has completed or timed out.
--- a/components/member/src/event.rs
+++ b/components/member/src/event.rs
@@ -1,4 +1,4 @@
-//! Descriptions of applied commands for the log.
+//! Descriptions of applied commands for log lines.
 
 use std::fmt;
 
--- a/components/member/src/follower.rs
+++ b/components/member/src/follower.rs
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Sends followers the whole state after a snapshot replaced it.
+    /// Sends followers the commands that they lack, or the whole state, after a snapshot
+    /// replaced the state.
     pub(crate) fn restore_followers(&mut self) {
         let keys: Vec<_> = self.followers.iter().map(|(key, _)| key).collect();
         for key in keys {
@@ -214,7 +215,8 @@
         }
     }
 
-    /// Forwards a keeper's symptom to the leader at once, and repeats it with each heartbeat.
+    /// Forwards a keeper's symptom to the leader at once, and repeats it with each heartbeat
+    /// until the keeper reports that the server is healthy.
     pub(crate) fn report_symptom(&mut self, key: Key<Follower>, symptom: Symptom) {
         let Some(follower) = self.followers.get_mut(key) else { return };
         follower.symptoms.retain(|known| known.group != symptom.group);
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -54,7 +54,8 @@
     pub clock: Clock,
     /// Seed of the timers' jitter.
     pub seed: u64,
-    /// Whether the member publishes its progress in beacons.
+    /// Whether the member publishes its progress in beacons and receives those of other
+    /// members.
     pub beacons: bool,
     /// Access to the servers of unfenced groups, if any exist.
     pub adapter: Option<Arc<dyn Adapter>>,
@@ -112,12 +113,12 @@
 pub enum Failure {
     /// The member can't listen on an address.
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
     },
     /// The data folder can't be used.
     Data {
-        /// The folder.
+        /// Path of the data folder.
         path: PathBuf,
     },
 }
@@ -354,8 +355,8 @@
         self.scope.token.cancelled().await;
     }
 
-    /// Starts or ends an isolation, in which the member drops all messages of members
-    /// and entries and refuses their new links.
+    /// Starts or ends an isolation, in which the member drops all messages to and from
+    /// members and entries and refuses their new links.
     pub fn isolate(&self, isolated: bool) {
         self.isolated.store(isolated, std::sync::atomic::Ordering::Release);
     }
--- a/components/member/src/join.rs
+++ b/components/member/src/join.rs
@@ -1,8 +1,8 @@
 //! Bootstrap from seeds, and joining an existing membership.
 //!
-//! Seeds bootstrap the first membership: each asks the others, and if none of them
-//! holds a log, the seed with the lowest address proposes a membership of all
-//! seeds that have a disk. Any other member without a leader dials the known
+//! Seeds bootstrap the first membership: each asks the others, and if no seed holds a
+//! log, the seed that has the lowest address of those with a disk proposes a membership
+//! of all seeds with a disk. Any other member without a leader dials the known
 //! seeds and members, whose leader then adds it. This covers a new host, a host
 //! that lost its disk, and a host that was removed while it was unreachable.
 
@@ -45,7 +45,8 @@
     links
 }
 
-/// Bootstraps the first membership if this member is the seed with the lowest address.
+/// Bootstraps the first membership if no seed holds a log and this member has the lowest
+/// address among the seeds that have a disk.
 async fn bootstrap(seeds: &Seeds, endpoint: &Endpoint, core: &Sender) {
     let own: Option<SocketAddr> = endpoint.own.link.parse().ok();
     let Some(own) = own.filter(|own| seeds.links.borrow().contains(own)) else { return };
--- a/components/member/src/lib.rs
+++ b/components/member/src/lib.rs
@@ -8,8 +8,10 @@
 //! of the quorum.
 //!
 //! - [`host`]: binding, starting and stopping.
+//! - [`api`]: requests of the hosting program to the member.
 //! - `core`: one task that owns every state machine of the member and waits only
 //!   for its inputs and its timer.
+//! - `input`: inputs of the core.
 //! - `pending`: proposals and reads that wait for the quorum.
 //! - `disk`: a thread that makes writes durable, with one sync for many of them.
 //! - `link`, `peers`: links between members.
@@ -21,7 +23,7 @@
 //! - `probe`: requests to backend servers on persistent connections.
 //! - `beacon`: progress of each member, published over nng.
 //! - `web`, `status`, `meter`, `event`: the HTTP interface, its status document,
-//!   metrics, and the log of applied commands.
+//!   metrics, and log lines about applied commands.
 //! - [`standby`]: a control host without a disk, which is not a member.
 
 pub mod api;
--- a/components/member/src/link.rs
+++ b/components/member/src/link.rs
@@ -30,8 +30,8 @@
     /// Whether this member asks to join a membership: set at the start if it has no
     /// log, and later whenever it has had no leader for too long.
     pub(crate) wants_to_join: Arc<AtomicBool>,
-    /// Whether the member drops all messages of members and entries and refuses their
-    /// new links, which tests use to simulate a partition.
+    /// Whether the member drops all messages to and from members and entries and refuses
+    /// their new links, which tests use to simulate a partition.
     pub(crate) isolated: Arc<AtomicBool>,
     pub(crate) log: Logger,
 }
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -94,7 +94,7 @@
     Event::Probed { group, server, ask, result }
 }
 
-/// Serves the requests of one connection to a fenced server.
+/// Serves the requests of one connection to a server of a fenced group.
 async fn run(target: Target, mut due: mpsc::Receiver<Request>, core: Sender) {
     let mut connection = None;
     while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, due.recv()).await {
--- a/components/member/src/web.rs
+++ b/components/member/src/web.rs
@@ -61,13 +61,14 @@
     NameMismatch { link: SocketAddr, name: String },
     /// The declarations are invalid.
     Violations(Vec<config::Violation>),
-    /// The command has no effect.
+    /// The command was refused.
     Command(control::Refusal),
     /// The membership change was refused.
     Membership(Refusal),
     /// The base of the change is not the current version.
     Conflict { version: u64 },
-    /// Another membership change is under way.
+    /// Another membership change is under way, or the leader has not committed an entry
+    /// of its own term yet.
     Busy,
     /// No leader accepted the request.
     NoLeader,
