--- a/programs/trefoil-control/src/cmd/inspect.rs
+++ b/programs/trefoil-control/src/cmd/inspect.rs
@@ -1,4 +1,4 @@
-//! `inspect`: shows the contents of a data folder.
+//! `inspect`: shows the contents of a control member's data folder.
 
 use base::prelude::*;
 use serde::Serialize;
@@ -29,7 +29,7 @@
     bytes: usize,
 }
 
-/// Prints the data folder of a stopped member as JSON.
+/// Prints a summary of the data folder of a stopped member as JSON.
 pub(crate) fn inspect(options: &Inspect) -> Result<(), Report<Failure>> {
     let stored = member::inspect(&options.data).change_context(Failure::Data)?;
     let (snapshot, hard) = (&stored.snapshot, stored.hard);
--- a/programs/trefoil-entry/src/cli.rs
+++ b/programs/trefoil-entry/src/cli.rs
@@ -15,7 +15,7 @@
 pub enum Command {
     /// Runs an entry.
     Run(Box<Run>),
-    /// Prints a line for the file of users, for the service of this name.
+    /// Prints a line for the file of users, for the service with the given name.
     User(String),
 }
 
--- a/programs/trefoil-load/src/cli.rs
+++ b/programs/trefoil-load/src/cli.rs
@@ -17,9 +17,9 @@
     pub baseline: Baseline,
     /// Whether callers connect to the primaries directly, without the proxy.
     pub direct: bool,
-    /// Duration of the traffic in seconds.
+    /// Duration of the traffic and overload phases together, in seconds.
     pub seconds: u64,
-    /// Number of sessions.
+    /// Number of callers, each with one session.
     pub callers: usize,
     /// Mean time between an answer and the next request, in milliseconds.
     pub think_ms: u64,
--- a/programs/trefoil-load/src/cmd/run.rs
+++ b/programs/trefoil-load/src/cmd/run.rs
@@ -32,7 +32,7 @@
     Runtime,
     /// The test bench could not be started or its run failed.
     Bench,
-    /// The result could not be written to standard output.
+    /// The result could not be encoded as JSON or written to standard output.
     Output,
 }
 
--- a/programs/trefoil-slope/src/cli.rs
+++ b/programs/trefoil-slope/src/cli.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     /// Cost of a change of the declarations, by number of entries that receive
-    /// the change.
+    /// the change and by number of services.
     Change,
     /// Cost of a round of heartbeats, by number of entries.
     Beat,
--- a/programs/trefoil-slope/src/cmd/change.rs
+++ b/programs/trefoil-slope/src/cmd/change.rs
@@ -1,4 +1,5 @@
-//! Measures the cost of one change of the declarations.
+//! Measures the cost of one change of the declarations, by number of entries and
+//! of services.
 //!
 //! The leader applies the change once. Each member encodes the change once for
 //! every entry that follows this member. Each entry decodes and applies the
--- a/programs/trefoil-slope/src/cmd/lead.rs
+++ b/programs/trefoil-slope/src/cmd/lead.rs
@@ -12,7 +12,7 @@
 
 use crate::size::{self, Size};
 
-/// Measured sizes.
+/// Measured sizes, up to that of a full deployment.
 const SIZES: [Size; 4] = [
     Size { entries: 9, groups: 3, services: 3 },
     Size { entries: 36, groups: 43, services: 43 },
@@ -129,7 +129,7 @@
             }
             Effect::Probe { group, server, ask, .. } => {
                 self.probes += u32::from(ask == Ask::Status);
-                let result = Ok(report(&server));
+                let result = Ok(healthy_status(&server));
                 Some(Event::Probed { group, server, ask, result })
             }
         }
@@ -137,7 +137,7 @@
 }
 
 /// Returns the status of a healthy server; server 0 of each group is the primary.
-fn report(server: &Name) -> Status {
+fn healthy_status(server: &Name) -> Status {
     let first = server.as_str().ends_with("-0");
     let mut history = History::default();
     history.begin(Term(1), Position(0));
--- a/programs/trefoil-slope/src/cmd/memory.rs
+++ b/programs/trefoil-slope/src/cmd/memory.rs
@@ -17,7 +17,7 @@
 /// many services as databases.
 const FULL_SIZE: Size = Size { entries: 3_600, groups: 4_300, services: 4_300 };
 
-/// Items of a component in a measured state.
+/// Number of items of the measured component in a state.
 const ITEM_COUNT: usize = 20_000;
 
 #[derive(Serialize)]
--- a/programs/trefoil-slope/src/cmd/restart.rs
+++ b/programs/trefoil-slope/src/cmd/restart.rs
@@ -1,5 +1,5 @@
-//! Measures the restart time of a member and its bytes on disk, by number of
-//! changes in the journal.
+//! Measures the restart time of a control member and the size of its data folder,
+//! by number of changes in the journal.
 
 use std::time::Instant;
 
@@ -35,9 +35,10 @@
 struct Row {
     measure: &'static str,
     changes: u64,
-    /// Size of all files in the data folder, snapshots included.
+    /// Total size of all files in the data folder in bytes, snapshots included.
     journal_bytes: u64,
-    /// Size of the last snapshot after the initial one; 0 if there was none.
+    /// Size of the last snapshot after the initial one in bytes; 0 if there was
+    /// none.
     snapshot_bytes: usize,
     write_micros_a_change: f64,
     restart_millis: f64,
--- a/programs/trefoil-slope/src/size.rs
+++ b/programs/trefoil-slope/src/size.rs
@@ -6,10 +6,10 @@
 use control::State;
 use wire::log::{Announce, Command, Configure, Join, Label, command::Body};
 
-/// Numbers of entries that the measurements use.
+/// Numbers of entries for which `change` and `beat` are measured.
 pub(crate) const ENTRIES: [usize; 4] = [9, 90, 900, 3_600];
 
-/// Backend servers per group.
+/// Number of backend servers per group.
 pub(crate) const SERVERS: usize = 3;
 
 /// Size of a state: numbers of entries, groups and services.
--- a/programs/trefoil-soak/src/cmd.rs
+++ b/programs/trefoil-soak/src/cmd.rs
@@ -23,7 +23,9 @@
     let folder = options.folder.or(temporary.as_ref().ok().map(|folder| folder.path().to_owned()));
     let programs = options.programs.or_else(program_folder);
     let (Some(folder), Some(programs)) = (folder, programs) else {
-        eprintln!("no data folder, or no folder of the programs");
+        eprintln!(
+            "could not create a temporary data folder or determine the folder of the programs"
+        );
         return ExitCode::from(EXIT_FAILED);
     };
     let Ok(runtime) = tokio::runtime::Runtime::new() else {
--- a/programs/trefoil-standin/src/cmd/serve.rs
+++ b/programs/trefoil-standin/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the group until SIGTERM or SIGINT.
+//! Runs the stand-in group until SIGTERM or SIGINT.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -21,7 +21,8 @@
     Runtime,
     /// The group could not start.
     Start,
-    /// The ready line could not be written to standard output.
+    /// The ready line, which names the group and its server addresses, could not be
+    /// encoded as JSON or written to standard output.
     Output,
 }
 
--- a/programs/trefoilctl/src/client.rs
+++ b/programs/trefoilctl/src/client.rs
@@ -128,7 +128,8 @@
     /// Creates a client without connecting.
     ///
     /// # Errors
-    /// [`Failure::NoAddress`] if `members` is empty.
+    /// [`Failure::NoAddress`] if `members` is empty, or
+    /// [`Failure::MalformedAnswer`] if the HTTP client could not be built.
     pub fn new(members: Vec<SocketAddr>) -> Result<Self, Report<Failure>> {
         if members.is_empty() {
             return Err(Report::new(Failure::NoAddress));
--- a/programs/trefoilctl/src/cmd/apply.rs
+++ b/programs/trefoilctl/src/cmd/apply.rs
@@ -12,7 +12,7 @@
 /// Longest wait until all entries have applied the change.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time between two status requests during this wait.
+/// Time between two status requests while waiting for the entries.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Options of `apply`.
@@ -26,7 +26,8 @@
     pub base: Option<u64>,
 }
 
-/// Runs the command.
+/// Applies the declarations in the directory `files` and, if `options.wait` is
+/// set, waits until all entries have applied them.
 pub async fn run(client: &Client, files: &Path, options: Options) -> Result<(), Report<Failure>> {
     let declarations = config::files::read(files)
         .map_err(|problems| Report::new(Failure::Declarations(problems)))?;
--- a/programs/trefoilctl/src/cmd/burn.rs
+++ b/programs/trefoilctl/src/cmd/burn.rs
@@ -24,7 +24,8 @@
     pub html: Option<PathBuf>,
 }
 
-/// Runs the command.
+/// Prints the report, writes a copy to the file `options.html` if given, and fails
+/// if `options.check` is set and the report contains an alarm.
 pub async fn run(client: &Client, options: Options) -> Result<(), Report<Failure>> {
     let report = fetch_report(client).await?;
     if let Some(path) = options.html {
--- a/programs/trefoilctl/src/cmd/diff.rs
+++ b/programs/trefoilctl/src/cmd/diff.rs
@@ -9,7 +9,8 @@
 use crate::client::Client;
 use crate::failure::Failure;
 
-/// Runs the command.
+/// Prints the differences between the declarations in force and those in the
+/// directory `files`.
 pub async fn run(client: &Client, files: &Path) -> Result<(), Report<Failure>> {
     let wanted = config::files::read(files)
         .map_err(|problems| Report::new(Failure::Declarations(problems)))?;
--- a/programs/trefoilctl/src/cmd/drain.rs
+++ b/programs/trefoilctl/src/cmd/drain.rs
@@ -6,7 +6,7 @@
 use crate::client::{Client, Drain};
 use crate::failure::Failure;
 
-/// Runs the command.
+/// Drains `entry` if `on` is true, and puts `entry` back into use otherwise.
 pub async fn run(client: &Client, entry: String, on: bool) -> Result<(), Report<Failure>> {
     let drain = Drain { entry, on };
     client.post_idempotent("/v1/drain", &drain).await?;
--- a/programs/trefoilctl/src/cmd/fault.rs
+++ b/programs/trefoilctl/src/cmd/fault.rs
@@ -5,7 +5,7 @@
 use crate::client::{Client, Fault};
 use crate::failure::Failure;
 
-/// Runs the command.
+/// Injects `fault`, with its argument if the fault takes one, into `group`.
 pub async fn run(client: &Client, group: String, fault: String) -> Result<(), Report<Failure>> {
     let fault = Fault { group, fault };
     client.post_idempotent("/v1/fault", &fault).await?;
--- a/programs/trefoilctl/src/cmd/get.rs
+++ b/programs/trefoilctl/src/cmd/get.rs
@@ -5,7 +5,8 @@
 use crate::client::Client;
 use crate::failure::Failure;
 
-/// Runs the command.
+/// Prints the declarations in force to standard output and their version to
+/// standard error.
 pub async fn run(client: &Client) -> Result<(), Report<Failure>> {
     let current = client.fetch_config().await?;
     let content: serde_json::Value =
--- a/programs/trefoilctl/src/cmd/members.rs
+++ b/programs/trefoilctl/src/cmd/members.rs
@@ -7,7 +7,7 @@
 use crate::failure::Failure;
 use crate::screen;
 
-/// Runs the command.
+/// Makes the given change, or prints the members if `change` is `None`.
 pub async fn run(client: &Client, change: Option<cli::Membership>) -> Result<(), Report<Failure>> {
     let change = match change {
         None => {
--- a/programs/trefoilctl/src/cmd/path.rs
+++ b/programs/trefoilctl/src/cmd/path.rs
@@ -8,7 +8,8 @@
 
 use crate::failure::Failure;
 
-/// Runs the command.
+/// Prints the path of the request with the id `request`, as recorded in the log
+/// files `files`.
 pub fn run(request: &str, files: &[PathBuf]) -> Result<(), Report<Failure>> {
     let mut logs = Logs::default();
     for path in files {
--- a/programs/trefoilctl/src/cmd/status.rs
+++ b/programs/trefoilctl/src/cmd/status.rs
@@ -15,7 +15,7 @@
 /// the screen below.
 const CLEAR_SCREEN: &str = "\x1b[H\x1b[J";
 
-/// Runs the command.
+/// Prints the status, once or, if `watch` is set, at each [`REFRESH_INTERVAL`].
 pub async fn run(client: &Client, json: bool, watch: bool) -> Result<(), Report<Failure>> {
     loop {
         let overview = client.fetch_status().await;
