--- a/components/load/src/oracle.rs
+++ b/components/load/src/oracle.rs
@@ -15,7 +15,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const AUDIT_USER: &str = "trefoil_probe";
 
-/// Rows of one group at the end.
+/// Rows of one group at the end of a run.
 #[derive(Debug, Default)]
 pub struct Rows {
     /// Number of rows for each request id, which is how often the request ran.
@@ -26,7 +26,7 @@
     pub paid: u64,
 }
 
-/// Waits until all servers of a group hold and have applied the same log records.
+/// Waits until all servers of a group hold and have applied the same log entries.
 ///
 /// # Errors
 /// [`Failure::Convergence`] after 30 seconds.
--- a/components/load/src/scenario.rs
+++ b/components/load/src/scenario.rs
@@ -19,9 +19,9 @@
 /// Sizes of a workload's groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sizes {
-    /// Number of statements that a server runs concurrently.
+    /// Largest number of statements that a server runs concurrently.
     pub slots: usize,
-    /// Number of data connections that a server accepts.
+    /// Largest number of concurrent data connections that a server accepts.
     pub connections: usize,
     /// Replication lag of each group.
     pub lags: [Duration; GROUPS],
--- a/components/load/tests/whole.rs
+++ b/components/load/tests/whole.rs
@@ -5,7 +5,7 @@
 use load::{Baseline, Bench, Fault, Proxied, Scenario, Settings, Verdict};
 use slog::{Discard, Logger, o};
 
-// long enough for the warm-up, one fault and the recovery from it
+// long enough for the warm-up, one fault, the recovery from it and the overload phase
 const LENGTH: Duration = Duration::from_secs(11);
 
 async fn run(scenario: Scenario, fault: Fault, seed: u64) -> Verdict {
--- a/components/local/src/cluster.rs
+++ b/components/local/src/cluster.rs
@@ -39,7 +39,8 @@
     pub data: Option<PathBuf>,
     /// Replication lag of the groups.
     pub lag: Duration,
-    /// Seed of all random numbers.
+    /// Seed of the first control member and of the first group; each further one adds
+    /// its index.
     pub seed: u64,
     /// Logger of all components.
     pub log: Logger,
@@ -117,7 +118,8 @@
     /// Starts all components and waits until each entry can serve callers.
     ///
     /// # Errors
-    /// [`Failure`], with the component's own error as its cause.
+    /// [`Failure`], with the error of the component that failed as its cause, if there
+    /// is one.
     pub async fn start(settings: Settings) -> Result<Self, Report<Failure>> {
         let clock = Clock::start();
         let key = generate_key();
--- a/components/local/src/scenario.rs
+++ b/components/local/src/scenario.rs
@@ -19,7 +19,7 @@
 pub enum Failure {
     /// The declarations could not be written to a temporary folder.
     Folder,
-    /// The declarations are invalid.
+    /// The declarations could not be read from the temporary folder or are invalid.
     Wrong,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Number of statements that a server runs concurrently.
+    /// Largest number of statements that a server runs concurrently.
     pub const fn slots(self) -> usize {
         match self {
             Self::Lakeshore => 2,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Number of data connections that a server accepts.
+    /// Largest number of concurrent data connections that a server accepts.
     pub const fn connections(self) -> usize {
         match self {
             Self::Lakeshore => 16,
--- a/components/soak/src/bench.rs
+++ b/components/soak/src/bench.rs
@@ -35,10 +35,12 @@
 /// Link key that the processes of a soak share.
 const LINK_KEY: &str = "a key for soaks only";
 
-/// Longest time until all components are ready.
+/// Longest time until the declarations are applied, and separately until all
+/// components are ready.
 const READY_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Time between two checks whether a component is ready.
+/// Time between two checks whether a component is ready, and between two attempts to
+/// submit the declarations.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The components of a soak, which the faults act on.
@@ -164,7 +166,8 @@
     ///
     /// # Errors
     /// [`Failure::Start`] when a component does not start or the declarations are
-    /// not applied in time, [`Failure::Heal`] when a component does not get ready.
+    /// not applied in time, [`Failure::Heal`] when a group cannot be healed or a
+    /// component is not ready in time.
     pub async fn start(
         paths: &Paths,
         scenario: Scenario,
--- a/components/soak/src/chaos.rs
+++ b/components/soak/src/chaos.rs
@@ -100,9 +100,9 @@
     }
 
     /// Reports the injected faults and the version of the declarations. Reads the
-    /// version up to 100 times, every 100 ms, until it is not older than the
-    /// acknowledged one. This takes up to about 10 seconds, or longer if the control
-    /// member does not answer.
+    /// version from the first control member up to 100 times, every 100 ms, until it is
+    /// not older than the acknowledged one. This takes up to about 10 seconds, or longer
+    /// if that member does not answer.
     pub async fn report(&self) -> Summary {
         let acknowledged = self.shared.acknowledged.load(Ordering::Relaxed);
         let mut version = 0;
--- a/components/soak/src/proxy.rs
+++ b/components/soak/src/proxy.rs
@@ -24,7 +24,7 @@
     Out,
 }
 
-/// What a proxy does to connections.
+/// How a proxy handles connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Forwards all bytes.
--- a/components/soak/src/run.rs
+++ b/components/soak/src/run.rs
@@ -13,10 +13,10 @@
 pub struct Settings {
     /// Folder of the programs, and folder for data and logs.
     pub paths: Paths,
-    /// Seed of the callers and the faults.
+    /// Seed of the callers, the groups and the faults.
     pub seed: u64,
     /// Duration of the load's traffic phase and overload phase together; faults are
-    /// injected during both.
+    /// injected during both, and before them while the tables are created.
     pub length: Duration,
     /// Number of caller sessions.
     pub callers: usize,
--- a/components/standin/src/log.rs
+++ b/components/standin/src/log.rs
@@ -2,8 +2,8 @@
 //!
 //! Each promotion appends an entry that starts its term, so two logs that hold an
 //! entry of the same term at the same position are identical up to that position.
-//! This module does no I/O: the host applies entries to SQLite and transfers them
-//! between servers.
+//! This module does no I/O: `storage` applies entries to SQLite, and `replication`
+//! transfers them between servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/components/standin/src/replication.rs
+++ b/components/standin/src/replication.rs
@@ -18,7 +18,8 @@
 /// again.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Simulated network delay of a batch between two servers.
+/// Simulated network delay of a batch between two servers, and pause after a pull that
+/// failed.
 pub const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
 const MIN_APPLY_PAUSE: Duration = Duration::from_millis(1);
--- a/components/standin/src/session.rs
+++ b/components/standin/src/session.rs
@@ -49,7 +49,7 @@
     match ended {
         None => drop(stream.set_zero_linger()),
         Some(Ok(())) => {}
-        Some(Err(error)) => debug!(server.log, "connection failed"; "error" => %error),
+        Some(Err(error)) => debug!(server.log, "client connection failed"; "error" => %error),
     }
 }
 
--- a/components/standin/src/storage.rs
+++ b/components/standin/src/storage.rs
@@ -73,9 +73,10 @@
     /// them back.
     ///
     /// # Errors
-    /// The error of the statement, [`SqlState::ReadOnly`] if the server is not the
-    /// primary of the transaction's term, or [`SqlState::Serialization`] if an earlier
-    /// write has another result.
+    /// The error of the statement, [`SqlState::Starting`] while the database is being
+    /// rebuilt, [`SqlState::ReadOnly`] if the server is not the primary of the
+    /// transaction's term, or [`SqlState::Serialization`] if an earlier write has
+    /// another result.
     pub fn dry_run(
         &mut self,
         transaction: &Transaction,
@@ -123,6 +124,7 @@
     /// Commits the writes of a transaction and appends them to the log.
     ///
     /// # Errors
+    /// [`SqlState::Starting`] while the database is being rebuilt,
     /// [`SqlState::ReadOnly`] if the server is no longer the primary of the
     /// transaction's term, [`SqlState::Serialization`] if a write has another result
     /// than before.
