--- a/components/burn/src/ledger.rs
+++ b/components/burn/src/ledger.rs
@@ -25,8 +25,8 @@
 pub struct Event {
     /// Time from the request to the end of its answer.
     pub latency: Duration,
-    /// Whether the request was done. An error that the server itself returned counts
-    /// as done.
+    /// Whether the request ran and its commit, if any, was acknowledged. A request to
+    /// which the backend server itself returned an error is done too.
     pub done: bool,
     /// Whether the request was a write. Failover gaps are measured on writes only.
     pub write: bool,
--- a/components/burn/src/report.rs
+++ b/components/burn/src/report.rs
@@ -75,12 +75,12 @@
 #[serde(rename_all = "lowercase")]
 #[strum(serialize_all = "lowercase")]
 pub enum Alarm {
-    /// No limit is reached over both of its windows: the budget lasts.
+    /// Neither limit is reached over both of its windows.
     None,
     /// The burn rate reaches [`SLOW_BURN_RATE`] over six hours and over half an hour.
     Slow,
-    /// The burn rate reaches [`FAST_BURN_RATE`] over an hour and over five minutes. The
-    /// budget will be gone within days.
+    /// The burn rate reaches [`FAST_BURN_RATE`] over an hour and over five minutes. At
+    /// this rate the whole budget lasts about two days.
     Fast,
 }
 
--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -22,7 +22,7 @@
     Value {
         /// Names of the tables and the key, outermost first.
         path: Vec<String>,
-        /// Values that are allowed there.
+        /// Values that the key allows.
         allowed: Allowed,
     },
 }
--- a/components/config/src/files.rs
+++ b/components/config/src/files.rs
@@ -26,7 +26,8 @@
     Unreadable(std::io::ErrorKind),
     /// The directory holds no file whose name ends in `.toml`.
     Empty,
-    /// The text isn't valid TOML, or a key or value is unknown.
+    /// The text isn't valid TOML, a key is unknown or missing, or a value can't be
+    /// parsed.
     Malformed {
         /// Error message of the TOML parser.
         text: String,
@@ -64,7 +65,7 @@
     /// Names of the tables and the key, joined by dots; empty if the problem
     /// concerns no key.
     pub key: String,
-    /// The problem.
+    /// Reason why the directory, file or key is rejected.
     pub problem: Problem,
 }
 
--- a/components/config/src/model.rs
+++ b/components/config/src/model.rs
@@ -69,14 +69,15 @@
     /// reads must include every write acknowledged before they arrived.
     #[serde(default)]
     pub age_ms: u64,
-    /// Priority under contention; zero is the highest.
+    /// Declared priority under contention; zero is the highest. The priority is stored,
+    /// but no request is scheduled by it.
     #[serde(default)]
     pub priority: u32,
     /// Time within which an operation should end, in milliseconds; zero for no
     /// objective.
     #[serde(default)]
     pub objective_ms: u64,
-    /// Limits of the database's callers.
+    /// Limits on the requests and transactions of the database's callers.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -91,7 +92,7 @@
     /// Share of the capacity under contention, relative to other services.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Limits of the service.
+    /// Limits on the requests and transactions of the service.
     #[serde(default)]
     pub limits: Limits,
     /// Service-level objectives of the service.
@@ -107,7 +108,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Number of requests that may wait in the queue.
+    /// Largest number of requests that may be open, waiting or running, at a keeper.
+    /// Further requests are refused unless they belong to an open transaction.
     pub queue: u32,
     /// Total time that a request may take, in milliseconds.
     pub deadline_ms: u64,
@@ -144,9 +146,9 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Measure {
-    /// Good requests are answered within the limit.
+    /// Good requests are done within the limit.
     Latency,
-    /// Good requests are done, however long the answer takes.
+    /// Good requests are done, however long they take.
     Answered,
     /// Good writes are done within the limit, so that a failover pauses writes no
     /// longer than the limit.
@@ -224,7 +226,7 @@
 }
 
 impl Service {
-    /// The deadline of the service's requests.
+    /// Total time that a request of the service may take.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.limits.deadline_ms)
     }
--- a/components/config/tests/text.rs
+++ b/components/config/tests/text.rs
@@ -11,7 +11,8 @@
 /// Number of seeds to run.
 const SEEDS: u64 = 300;
 
-/// Number of random bytes for each seed.
+/// Number of random bytes for each seed; `arbtest` takes it from the low 32 bits of its
+/// seed.
 const BYTES: u64 = 4 << 10;
 
 fn name(u: &mut Unstructured<'_>) -> Result<Name> {
--- a/components/pg/src/client.rs
+++ b/components/pg/src/client.rs
@@ -51,7 +51,7 @@
     Execute(Execute),
     /// Closes the statement or portal with this name.
     Close(Target, String),
-    /// Ends a cycle.
+    /// Ends a cycle: the messages of the extended protocol that one ReadyForQuery answers.
     Sync,
     /// Requests the answers to all messages so far, without ending the cycle.
     Flush,
--- a/components/pg/src/cycle.rs
+++ b/components/pg/src/cycle.rs
@@ -51,8 +51,8 @@
     Recover,
     /// End the session on request of the caller.
     Terminate,
-    /// Send an error and end the session, because the caller violated the protocol
-    /// or called a function by object id.
+    /// Send an error and end the session, because the caller violated the protocol, sent
+    /// a string that is not UTF-8, or called a function by object id.
     Fatal(Problem),
 }
 
--- a/components/pg/src/setting.rs
+++ b/components/pg/src/setting.rs
@@ -1,8 +1,8 @@
 //! Session settings that the front answers without a backend server.
 //!
-//! Connections to backend servers are shared, so the settings have fixed values that a
-//! caller can't change. A SET to the fixed value succeeds without effect; a SET to any
-//! other value is refused.
+//! Connections to backend servers are shared, so all settings except [`SESSION`] and
+//! [`APPLICATION`] have fixed values that a caller can't change. A SET to the fixed value
+//! succeeds without effect; a SET to any other value is refused.
 
 use sqlparser::tokenizer::Token;
 
@@ -11,7 +11,7 @@
 /// Name of the setting that carries the session token.
 pub const SESSION: &str = "trefoil.session";
 
-/// Name of the setting that a caller may set to any value.
+/// Name of the setting with the application name, which a caller may set to any value.
 pub const APPLICATION: &str = "application_name";
 
 /// Version of PostgreSQL that is reported to callers.
@@ -20,7 +20,8 @@
 /// Statement that the front answers without a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Local {
-    /// Continues the session that a token describes.
+    /// Merges the positions in a session token into the session, so that the session's
+    /// reads include the writes that the token covers.
     SetSession(String),
     /// Shows the token of the session.
     ShowSession,
@@ -41,7 +42,8 @@
         /// Value of the setting.
         value: &'static str,
     },
-    /// Discards all state of the session.
+    /// Answers DISCARD ALL, which closes all prepared statements of the session. The
+    /// session token and the application name are kept.
     DiscardAll,
     /// Closes all prepared statements of the session.
     DeallocateAll,
--- a/components/telemetry/src/event.rs
+++ b/components/telemetry/src/event.rs
@@ -123,13 +123,14 @@
     group: &'a Name = "group",
     /// Access of the statement: read or write.
     access: &'a str = "access",
-    /// Whether the statement was done.
+    /// Whether the statement ran and its commit, if any, was acknowledged.
     done: bool = "done",
     /// Reason why the statement was not done.
     reason: &'a str = "reason",
     /// Time from the statement to its answer.
     took: Duration = "took_ms",
-    /// Time within which the statement should be answered.
+    /// Time within which the statement should be answered; zero if no such time is
+    /// declared.
     objective: Duration = "objective_ms",
     /// Version of the declarations under which the statement was admitted.
     version: u64 = "version",
@@ -140,7 +141,8 @@
 }
 
 event! {
-    /// A keeper ended a request that was not done, or not at the first attempt.
+    /// A keeper ended a request that was not done, was retried, or took longer than
+    /// `objective_ms` of its database.
     Ended, "a request ended",
     /// Id of the request.
     request: &'a str = "request",
