--- a/components/burn/src/ledger.rs
+++ b/components/burn/src/ledger.rs
@@ -70,6 +70,7 @@
 #[derive(Clone, Debug)]
 struct Account {
     goals: Vec<(Goal, Series)>,
+    /// Latencies of the requests, in microseconds.
     latency: Histogram<u64>,
 }
 
