--- a/components/quorum/src/leader.rs
+++ b/components/quorum/src/leader.rs
@@ -66,7 +66,7 @@
 }
 
 impl Replica {
-    pub(crate) fn leading(&mut self) -> Option<&mut Leader> {
+    pub(crate) fn leader_mut(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
             Role::Leader(lead) => Some(lead),
             _ => None,
@@ -90,7 +90,7 @@
             self.step_down(now, self.hard.term, None);
             return;
         }
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         if lead.transfer.is_some_and(|(_, until)| now >= until) {
             lead.transfer = None;
         }
@@ -104,7 +104,7 @@
 
     /// After a stall of this process, gives the others time to answer again.
     fn restart_quorum_timeout(&mut self, now: Instant) {
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         lead.contact_since = now;
     }
 
@@ -136,7 +136,7 @@
     /// Sends all other members a heartbeat, with entries or a piece of a snapshot if they
     /// lack any.
     pub(crate) fn broadcast_heartbeat(&mut self, now: Instant) {
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         lead.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
         for peer in self.peers() {
             self.replicate(peer, true);
@@ -148,7 +148,7 @@
     pub(crate) fn sync_peers(&mut self) {
         let peers = self.peers();
         let next = self.log.last_index() + 1;
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         lead.peers.retain(|id, _| peers.contains(id));
         for peer in peers {
             lead.peers.entry(peer).or_insert(Progress {
@@ -177,7 +177,7 @@
         let commit = self.commit;
         let base = self.log.base();
         let snapshot = self.log.snapshot().index;
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         let round = lead.rounds.current();
         let Some(peer) = lead.peers.get_mut(&to) else { return };
         if peer.next <= base {
@@ -200,7 +200,7 @@
             if due { self.log.batch(from, self.settings.batch_entries) } else { Vec::new() };
         let prev_term = self.log.term(prev_index).unwrap_or_default();
         let sent = entries.len() as u64;
-        if let Some(peer) = self.leading().and_then(|lead| lead.peers.get_mut(&to)) {
+        if let Some(peer) = self.leader_mut().and_then(|lead| lead.peers.get_mut(&to)) {
             peer.next += sent;
         }
         self.send(to, Body::Append(Append { prev_index, prev_term, commit, round, entries }));
@@ -214,7 +214,7 @@
     }
 
     fn send_piece(&mut self, to: u64) {
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         let round = lead.rounds.current();
         let Some(peer) = lead.peers.get(&to) else { return };
         let Some((_, offset)) = peer.snapshot else { return };
@@ -239,7 +239,7 @@
     pub(crate) fn on_appended(&mut self, now: Instant, from: u64, appended: Appended) {
         let base = self.log.base();
         let last = self.log.last_index();
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         let Some(peer) = lead.peers.get_mut(&from) else { return };
         peer.heard_at = Some(now);
         peer.round = peer.round.max(appended.round);
@@ -259,7 +259,7 @@
     }
 
     pub(crate) fn on_installed(&mut self, now: Instant, from: u64, installed: Installed) {
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         let Some(peer) = lead.peers.get_mut(&from) else { return };
         peer.heard_at = Some(now);
         let Some((index, offset)) = &mut peer.snapshot else { return };
@@ -336,7 +336,7 @@
     }
 
     pub(crate) fn on_propose(&mut self, now: Instant, from: u64, propose: Propose) {
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         if !lead.proposals.entry(from).or_default().insert(propose.token) {
             return;
         }
@@ -346,7 +346,7 @@
     }
 
     fn accept(&mut self, now: Instant, origin: u64, token: u64, body: propose::Body) {
-        if self.leading().is_some_and(|lead| lead.transfer.is_some()) {
+        if self.leader_mut().is_some_and(|lead| lead.transfer.is_some()) {
             self.drop_proposal(origin, token);
             return;
         }
@@ -384,7 +384,7 @@
         let others = self.voters().map(|member| member.id).filter(|id| *id != own);
         let best = others.max_by_key(|id| matched(*id));
         let until = now + ELECTION_TIMEOUT_MAX;
-        if let Some(lead) = self.leading() {
+        if let Some(lead) = self.leader_mut() {
             lead.transfer = best.map(|best| (best, until));
         }
         self.advance_transfer();
--- a/components/quorum/src/read.rs
+++ b/components/quorum/src/read.rs
@@ -140,7 +140,7 @@
             self.confirm(query, self.commit);
             return;
         }
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         if !lead.rounds.waiting.contains(&query) {
             lead.rounds.waiting.push(query);
         }
@@ -151,7 +151,7 @@
     /// term is committed yet.
     pub(crate) fn begin_reads(&mut self, now: Instant) {
         let commit = self.commit;
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         let early = commit < lead.first_index;
         let rounds = &mut lead.rounds;
         if early || !rounds.open.is_empty() || rounds.waiting.is_empty() {
@@ -173,7 +173,7 @@
         if lead.rounds.open.is_empty() || !self.is_quorum(|id| id == own || answered(id)) {
             return;
         }
-        let Some(lead) = self.leading() else { return };
+        let Some(lead) = self.leader_mut() else { return };
         let index = lead.rounds.index;
         for query in std::mem::take(&mut lead.rounds.open) {
             self.confirm(query, index);
