--- a/components/burn/src/ledger.rs
+++ b/components/burn/src/ledger.rs
@@ -155,7 +155,7 @@
         });
     }
 
-    /// The page that the entry serves.
+    /// Counts and latencies of all services, in the form in which the entry serves them.
     pub fn page(&self, now: Instant, entry: &Name, incarnation: u64) -> Page {
         let mut lines = Vec::new();
         let mut latencies = Vec::new();
--- a/components/control/src/designation.rs
+++ b/components/control/src/designation.rs
@@ -95,18 +95,20 @@
     positions: BTreeMap<Name, Position>,
     /// When the last command was proposed, if no command was applied since.
     proposed: Option<Instant>,
-    /// Intended term, and since when no keeper works for the old primary.
+    /// Intended term, and the time since which no keeper works for the old primary.
     sealed_since: Option<(Term, Instant)>,
     /// When the last designation was sent to the chosen server.
     designated: Option<Instant>,
-    /// Term of the chosen server, and since when the leader waits for it to lead.
+    /// Term of the chosen server, and the time since which the leader waits for the
+    /// server to lead.
     chosen: Option<(Term, Instant)>,
-    /// Since when servers of a new group report their status, none as the primary.
+    /// Time since which servers of a new group report their status, none as the
+    /// primary.
     bootstrap_since: Option<Instant>,
     /// Newest established term, and when the leader first saw it established.
     established: Option<(Term, Instant)>,
-    /// Since when the primary is reported as unhealthy by all keepers, or as cut
-    /// off by any.
+    /// Time since which the primary is reported as unhealthy by all keepers, or as
+    /// cut off by any.
     unhealthy_since: Option<Instant>,
     /// Rejected designations in a row.
     rejections: u32,
@@ -114,12 +116,12 @@
 }
 
 impl Designation {
-    /// Timeline of the newest change.
+    /// Timeline of the newest change of primary.
     pub fn trace(&self) -> Option<&Trace> {
         self.trace.as_ref()
     }
 
-    /// Whether a change is in progress.
+    /// Whether a change of primary is in progress.
     pub fn is_in_progress(&self) -> bool {
         self.trace.as_ref().is_some_and(|trace| trace.established.is_none())
     }
--- a/components/control/src/failover.rs
+++ b/components/control/src/failover.rs
@@ -111,7 +111,7 @@
     establishing: Option<Instant>,
     /// Until when the replicas' silence is ignored.
     silence_ignored_until: Instant,
-    /// Since when a majority of a new group is reachable.
+    /// Time since which a majority of a new group is reachable.
     bootstrap_since: Option<Instant>,
     /// When the last planned switchover began.
     switchover_at: Option<Instant>,
--- a/components/control/src/flaw.rs
+++ b/components/control/src/flaw.rs
@@ -6,7 +6,7 @@
     /// The leader keeps all rules.
     #[default]
     None,
-    /// Grants a returning share before its holder has released it.
+    /// Grants a share that is being taken back, although its holder has not released it yet.
     GrantEarly,
     /// Ignores, as a new leader, removed entries that may not know of their removal yet.
     ForgetDeparted,
--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -53,7 +53,7 @@
     },
     /// Replicate from the primary of a term.
     Follow {
-        /// Term to join.
+        /// Term that the server is to join.
         term: Term,
         /// Address of the primary of the term.
         primary: SocketAddr,
--- a/components/control/src/state.rs
+++ b/components/control/src/state.rs
@@ -99,7 +99,7 @@
     pub group: Name,
     /// Address for statements and probes.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub zone: Name,
     /// Labels of the server.
     pub labels: Labels,
@@ -125,7 +125,7 @@
     pub address: SocketAddr,
     /// Address on which the entry's web server listens; `None` if it announced none.
     pub web: Option<SocketAddr>,
-    /// Availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
     /// Whether all earlier incarnations of the entry are known to have ended.
     pub sole: bool,
--- a/components/control/tests/designation.rs
+++ b/components/control/tests/designation.rs
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn chooses_the_server_that_holds_the_most() {
+fn chooses_the_server_with_the_highest_position() {
     let mut world = World::new();
     world.set_position("s1", 99);
     world.set_position("s2", 100);
--- a/components/control/tests/leases.rs
+++ b/components/control/tests/leases.rs
@@ -18,7 +18,8 @@
 const SEATS: usize = 3;
 const TICK: Duration = control::leader::TICK;
 
-/// Time for which the old limit is still allowed after a server lowered it.
+/// Time for which the shares may still reach a server's earlier limits after the server
+/// announced lower ones.
 const LOWERED_LIMIT_GRACE: Duration = Duration::from_secs(6);
 
 #[derive(Debug)]
@@ -98,7 +99,7 @@
     faulty: bool,
 }
 
-fn wrap(body: command::Body) -> Command {
+fn to_command(body: command::Body) -> Command {
     Command { body: Some(body) }
 }
 
@@ -138,7 +139,7 @@
         let content = r#"{"groups":{"g1":{"servers":3},"g2":{"servers":3}}}"#.to_owned();
         let configure =
             Configure { change: "c".to_owned(), base: 0, content, patch: String::new() };
-        world.commit(&wrap(command::Body::Configure(configure)));
+        world.commit(&to_command(command::Body::Configure(configure)));
         for group in GROUPS {
             for seat in 0..SEATS {
                 world.announce(group, seat, 1, (16, 2));
@@ -161,7 +162,7 @@
             slots: limits.1,
             ..Announce::default()
         };
-        self.commit(&wrap(command::Body::Announce(announce)));
+        self.commit(&to_command(command::Body::Announce(announce)));
     }
 
     fn commit(&mut self, command: &Command) {
@@ -380,7 +381,7 @@
             9 => {
                 let on = u.ratio(1, 3)?;
                 let drain = Drain { entry: name(at).to_string(), on };
-                self.commit(&wrap(command::Body::Drain(drain)));
+                self.commit(&to_command(command::Body::Drain(drain)));
             }
             10 if u.ratio(1, 2)? => {
                 let group = *u.choose(&GROUPS)?;
@@ -401,7 +402,7 @@
         for at in 0..ENTRIES {
             self.entries[at].isolated = false;
             let drain = Drain { entry: name(at).to_string(), on: false };
-            self.commit(&wrap(command::Body::Drain(drain)));
+            self.commit(&to_command(command::Body::Drain(drain)));
             if !self.entries[at].up {
                 self.start(u, at)?;
             }
--- a/components/entry/src/front/attempt.rs
+++ b/components/entry/src/front/attempt.rs
@@ -46,7 +46,8 @@
         Self::Ended { end, forwarded: false, own_answers: 0 }
     }
 
-    /// Reason of a request that was not done; [`Reason::Broken`] without an end.
+    /// Reason of a request whose outcome is not `Done`; [`Reason::Broken`] if there is
+    /// no end.
     pub fn reason(&self) -> Reason {
         match self {
             Self::Ended { end, .. } => end.reason(),
@@ -149,7 +150,8 @@
     Problem::new(Code::NotRun, message).after(RETRY_AFTER)
 }
 
-/// Converts an end that is not done to the error for the caller.
+/// Converts the end of a request whose outcome is not `Done` to the error for the
+/// caller.
 fn explain(end: &End) -> Problem {
     let reason = end.reason();
     if end.outcome() == Outcome::NotRun {
--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -26,7 +26,7 @@
 /// Maximum number of values, and of prepared statements, in one session.
 const SESSION_ITEMS: usize = 1_024;
 
-/// The transaction of a caller.
+/// State of a caller's transaction.
 #[derive(Debug)]
 enum Transaction {
     /// No transaction is open.
@@ -327,8 +327,8 @@
         self.finish(&work, &attempt, reply, link, group).await
     }
 
-    /// Records the latency of a statement, and logs the statement if it was not done or
-    /// exceeded the objective.
+    /// Records the latency of a statement, and logs the statement if its outcome is not
+    /// `Done` or if it exceeded the objective.
     fn record(
         &self,
         work: &Work,
@@ -453,7 +453,11 @@
         self.transaction = if over { Transaction::None } else { Transaction::Failed };
     }
 
-    /// Writes the error of a statement that is not done, and drops its transaction.
+    /// Writes the error of a statement whose outcome is not `Done` or that has no valid
+    /// reply, and has the keeper roll back the statement's transaction.
+    ///
+    /// A transaction that the statement does not end stays failed until the caller ends
+    /// it.
     async fn fail_request(
         &mut self,
         work: &Work,
@@ -478,7 +482,8 @@
     }
 }
 
-/// Returns the error for a statement that is not done.
+/// Returns the error for a statement whose outcome is not `Done` or that has no valid
+/// reply.
 ///
 /// Writes that only a later commit would have committed are certainly rolled back.
 fn problem(work: &Work, attempt: &Attempt) -> Problem {
--- a/components/entry/src/front/run.rs
+++ b/components/entry/src/front/run.rs
@@ -134,7 +134,7 @@
         false
     }
 
-    /// Logs a cycle that was not done.
+    /// Logs a cycle whose outcome is not `Done`.
     fn log_failure(
         &self,
         work: &Work,
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Updates floors and transaction status of the session after a request that is
-    /// done.
+    /// Updates floors and transaction status of the session after a request whose outcome
+    /// is `Done`.
     fn update_session(
         &mut self,
         work: &Work,
@@ -213,7 +213,8 @@
         };
     }
 
-    /// Writes the error of a request that is not done, and drops its transaction.
+    /// Writes the error of a request whose outcome is not `Done`, and has the keeper roll
+    /// back the request's transaction.
     ///
     /// A transaction that the caller has not ended stays failed until the caller ends
     /// it, so that no later statement of it runs outside a transaction.
--- a/components/entry/src/front/session.rs
+++ b/components/entry/src/front/session.rs
@@ -10,7 +10,7 @@
 use super::cancels;
 use super::link::Link;
 
-/// The transaction of a caller.
+/// State of a caller's transaction.
 #[derive(Debug, Default)]
 pub enum Transaction {
     /// No transaction is open.
@@ -57,7 +57,7 @@
     pub floors: Floors,
     /// Prepared statements of the session.
     pub prepared: Prepared,
-    /// Transaction of the session.
+    /// State of the session's current transaction.
     pub transaction: Transaction,
     /// Number of the session at keepers, replaced by a new one each time that a keeper
     /// is told to forget the session or is lost.
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -102,7 +102,7 @@
         match self {
             Self::Listen { address } => write!(f, "could not listen on {address}"),
             Self::Users { path } => write!(f, "could not read users from {}", path.display()),
-            Self::Tls => f.write_str("the files for TLS can't be used"),
+            Self::Tls => f.write_str("could not load the certificate and key for TLS"),
         }
     }
 }
@@ -315,7 +315,7 @@
         tokio::time::sleep(stop.balancer).await;
         let disconnected = self.front.close(stop.limit).await;
         if disconnected > 0 {
-            warn!(self.log, "stop limit reached; callers were disconnected";
+            warn!(self.log, "time limit for stopping reached; remaining callers were disconnected";
                 "callers" => disconnected);
         }
         self.keep.close().await;
--- a/components/entry/src/keep/answer.rs
+++ b/components/entry/src/keep/answer.rs
@@ -34,7 +34,7 @@
 /// A message of a backend server.
 #[derive(Debug)]
 pub(super) struct Message {
-    /// Type byte.
+    /// Type byte of the message.
     pub(super) kind: u8,
     /// The complete message, header and body.
     pub(super) bytes: BytesMut,
--- a/components/entry/src/keep/plain.rs
+++ b/components/entry/src/keep/plain.rs
@@ -145,7 +145,7 @@
     rows_bytes: usize,
     complete: Option<Bytes>,
     error: Option<(Fault, Bytes)>,
-    /// Time when the first order of the command was sent.
+    /// Time when the first [`Order`] of the command was sent to the server.
     sent: Instant,
 }
 
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -25,7 +25,7 @@
     Run {
         /// Front that sent the request.
         front: Front,
-        /// The request.
+        /// Request to run.
         run: Run,
     },
     /// A front accepts more bytes of an answer.
@@ -59,25 +59,25 @@
     },
     /// A connection is open and accepts statements.
     Opened {
-        /// The connection.
+        /// Connection that was opened.
         conn: Key<Connection>,
     },
     /// A connection was closed or could not be opened. No further event of the
     /// connection follows.
     Closed {
-        /// The connection.
+        /// Connection that was closed or could not be opened.
         conn: Key<Connection>,
     },
     /// A piece of an answer was received.
     Piece {
-        /// The connection.
+        /// Connection on which the piece was received.
         conn: Key<Connection>,
-        /// The piece.
+        /// Messages of the piece, and the progress that they show.
         piece: Piece,
     },
     /// ReadyForQuery ended a cycle.
     Cycle {
-        /// The connection.
+        /// Connection on which the cycle ran.
         conn: Key<Connection>,
         /// Status byte of ReadyForQuery: I, T or E.
         status: u8,
@@ -88,21 +88,21 @@
     /// reports its log position with each answer. [`Event::Opened`] is not sent
     /// for such a connection.
     Reported {
-        /// The connection.
+        /// Connection on which the report was received.
         conn: Key<Connection>,
         /// Contents of the report.
         reported: Reported,
     },
     /// The server's answer to [`Effect::Mark`].
     Marked {
-        /// The connection.
+        /// Connection on which the mark was read.
         conn: Key<Connection>,
         /// Last record of the server's log.
         mark: Mark,
     },
     /// A server's status report was received.
     Status {
-        /// The report.
+        /// Contents of the report.
         status: Status,
         /// When the report was requested.
         sent: Instant,
@@ -142,7 +142,7 @@
 /// Complete server messages of one answer, without ReadyForQuery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece {
-    /// The encoded messages.
+    /// Encoded server messages.
     pub bytes: Bytes,
     /// Progress of the cycle that the messages show.
     pub kind: Kind,
@@ -254,7 +254,7 @@
     },
     /// Send client messages to a server.
     Send {
-        /// The connection.
+        /// Connection on which the messages are sent.
         conn: Key<Connection>,
         /// Messages of one cycle.
         bytes: Bytes,
@@ -264,46 +264,46 @@
     },
     /// Roll back the transaction that is open on a connection.
     RollBack {
-        /// The connection.
+        /// Connection whose transaction is rolled back.
         conn: Key<Connection>,
     },
     /// Read the server's last log position on a connection.
     Mark {
-        /// The connection.
+        /// Connection on which the position is read.
         conn: Key<Connection>,
     },
     /// Close a connection; [`Event::Closed`] follows.
     Close {
-        /// The connection.
+        /// Connection to close.
         conn: Key<Connection>,
     },
     /// Ask the server to cancel the statement that runs on a connection.
     Cancel {
-        /// The connection.
+        /// Connection on which the statement runs.
         conn: Key<Connection>,
     },
     /// Stop reading from a connection.
     Pause {
-        /// The connection.
+        /// Connection that is no longer read.
         conn: Key<Connection>,
     },
     /// Resume reading from a connection.
     Resume {
-        /// The connection.
+        /// Connection that is read again.
         conn: Key<Connection>,
     },
     /// Send a part of an answer.
     Part {
         /// Front that receives the part.
         front: Front,
-        /// The part.
+        /// Part to send, with the number of its request.
         part: Part,
     },
     /// Send the end of an answer.
     End {
         /// Front that receives the end.
         front: Front,
-        /// The end.
+        /// Message that ends the answer.
         end: End,
     },
     /// Request a status report from a server immediately.
@@ -368,7 +368,7 @@
     pub sample: Option<Duration>,
 }
 
-/// A counted event.
+/// Event for which a counter is incremented.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Count {
     /// A read was sent to a replica.
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Transaction status byte reported to the caller of a request that is not
-    /// done.
+    /// Transaction status byte reported to the caller of a request whose
+    /// outcome is not `Done`.
     fn status_of(&self, request: &Request) -> u8 {
         let pinned = self.pins.get(&request.owner()).and_then(|key| self.conns.get(*key));
         let waits = matches!(request.stage, Stage::Urgent(_));
--- a/components/keeper/src/health.rs
+++ b/components/keeper/src/health.rs
@@ -18,7 +18,8 @@
 /// Interval at which a persisting symptom is reported again.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The last report to control.
+/// Last symptom of the primary that was reported to control, with the
+/// time of the report.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     last_symptom: Option<Symptom>,
--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -35,7 +35,7 @@
     requested_since: Instant,
     /// Start of the current round.
     round: Option<Instant>,
-    /// The latest sample.
+    /// Latest sample of the primary whose term a majority confirmed.
     pub(crate) verified: Option<Sample>,
     /// End of background sampling for reads that accept a bounded age.
     age_reads_until: Instant,
--- a/components/keeper/src/request.rs
+++ b/components/keeper/src/request.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// A request.
+/// Request of a caller, from its arrival to its end.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) front: Front,
@@ -98,7 +98,7 @@
     pub(crate) end: Option<End>,
 }
 
-/// End of a cycle.
+/// Time and result of the end of a cycle.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Completion {
     pub(crate) at: Instant,
@@ -124,7 +124,7 @@
     pub(crate) position_before: Position,
     /// Position of the primary after the cycle.
     pub(crate) mark_after: Option<Mark>,
-    /// End of the cycle, once it has ended.
+    /// How the cycle ended; `None` until its end.
     pub(crate) completion: Option<Completion>,
     /// When the connection was lost, or when the mark after the cycle was found
     /// to be of another term.
--- a/components/keeper/src/service.rs
+++ b/components/keeper/src/service.rs
@@ -17,7 +17,7 @@
     pub(crate) objective: Option<Duration>,
     /// Number of requests that have not ended.
     pub(crate) open_requests: u32,
-    /// Retry budget.
+    /// Retry budget of the service.
     pub(crate) budget: Budget,
     /// Servers that selectors allow the service to reach.
     pub(crate) reach: SmallVec<[Key<Server>; 4]>,
--- a/components/keeper/tests/fuzz/link.rs
+++ b/components/keeper/tests/fuzz/link.rs
@@ -37,7 +37,7 @@
     /// Events in transit to the group.
     pub events: VecDeque<Event>,
     /// Number of cycles sent whose end the group has not received.
-    pub due: u32,
+    pub unfinished: u32,
     /// Whether the outstanding cycle belongs to a caller, not to a rollback.
     pub runs: bool,
     pub paused: bool,
@@ -52,7 +52,7 @@
             jobs: VecDeque::new(),
             open: None,
             events: VecDeque::new(),
-            due: 0,
+            unfinished: 0,
             runs: false,
             paused: false,
         }
--- a/components/keeper/tests/fuzz/world.rs
+++ b/components/keeper/tests/fuzz/world.rs
@@ -218,8 +218,8 @@
     fn use_link(&mut self, conn: Key<Connection>) -> &mut Link {
         let link = self.links.get_mut(&conn).expect("a send on a known connection");
         assert!(link.established, "a send before the connection is open");
-        assert_eq!(link.due, 0, "a connection was used before its last cycle was over");
-        link.due += 1;
+        assert_eq!(link.unfinished, 0, "a connection was used before its last cycle was over");
+        link.unfinished += 1;
         link
     }
 
@@ -376,7 +376,7 @@
         };
         match event {
             Event::Cycle { .. } => {
-                link.due -= 1;
+                link.unfinished -= 1;
                 link.runs = false;
             }
             Event::Closed { .. } => drop(self.links.remove(&conn)),
--- a/components/keeper/tests/fuzz/world/request.rs
+++ b/components/keeper/tests/fuzz/world/request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, and the handling of their ends.
+//! Sending of callers' requests, and checks of the message that ends each request.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
--- a/components/local/src/cluster.rs
+++ b/components/local/src/cluster.rs
@@ -308,7 +308,7 @@
 fn generate_key() -> link::Key {
     let mut bytes = [0; link::key::MIN_BYTES * 2];
     rand::Rng::fill_bytes(&mut rand::rng(), &mut bytes);
-    link::Key::new(&bytes).expect("the key is long enough")
+    link::Key::new(&bytes).expect("a generated link key is long enough")
 }
 
 fn name(text: &str) -> Name {
--- a/components/member/src/disk.rs
+++ b/components/member/src/disk.rs
@@ -30,7 +30,7 @@
     /// Membership at the index of the snapshot.
     #[prost(message, optional, tag = "3")]
     pub members: Option<Members>,
-    /// Encoded state.
+    /// Encoded state at the index of the snapshot.
     #[prost(bytes = "bytes", tag = "4")]
     pub data: Bytes,
 }
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -40,7 +40,7 @@
 pub struct Settings {
     /// Name of the member's host.
     pub name: Name,
-    /// Data folder.
+    /// Folder in which the member stores its data.
     pub data: PathBuf,
     /// Address for links of members and entries; port 0 selects a free port.
     pub link: SocketAddr,
@@ -93,7 +93,7 @@
 pub struct Peer {
     /// Name of the member's host.
     pub name: Name,
-    /// Address for links.
+    /// Address for links of members and entries.
     pub link: SocketAddr,
     /// Address of the HTTP interface.
     pub web: SocketAddr,
@@ -102,7 +102,7 @@
 /// Addresses at which a member listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Address for links.
+    /// Address for links of members and entries.
     pub link: SocketAddr,
     /// Address of the HTTP interface.
     pub web: SocketAddr,
--- a/components/member/src/standby.rs
+++ b/components/member/src/standby.rs
@@ -18,7 +18,8 @@
                 let (name, key, log) = (name.clone(), key.clone(), log.clone());
                 tokio::spawn(async move {
                     if let Err(report) = answer(stream, &name, &key).await {
-                        debug!(log, "link failed"; "failure" => %report);
+                        debug!(log, "could not exchange hello messages on a link";
+                            "failure" => %report);
                     }
                 });
             }
--- a/components/quorum/src/event.rs
+++ b/components/quorum/src/event.rs
@@ -102,7 +102,7 @@
     Compact {
         /// Index up to which the state includes the log.
         index: u64,
-        /// Encoded state.
+        /// Encoded application state.
         data: Bytes,
     },
     /// First membership, for an empty log.
--- a/components/quorum/src/log.rs
+++ b/components/quorum/src/log.rs
@@ -19,7 +19,7 @@
     pub term: u64,
     /// Membership at the index.
     pub members: Members,
-    /// Encoded state.
+    /// Encoded application state.
     pub data: Bytes,
 }
 
--- a/components/standin/src/failure.rs
+++ b/components/standin/src/failure.rs
@@ -13,7 +13,7 @@
     Folder,
     /// An SQLite database could not be opened.
     Database,
-    /// The group has no primary, or no server of the number that the fault names.
+    /// The group has no primary, or no server with the number that the fault names.
     Fault,
 }
 
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -17,7 +17,7 @@
     pub body: Option<up::Body>,
 }
 
-/// Message kinds of [`Up`].
+/// Variants of the body of [`Up`].
 pub mod up {
     /// Body of a message from an entry.
     #[derive(Clone, PartialEq, prost::Oneof)]
@@ -133,7 +133,7 @@
     pub body: Option<down::Body>,
 }
 
-/// Message kinds of [`Down`].
+/// Variants of the body of [`Down`].
 pub mod down {
     /// Body of a message from a control member.
     #[derive(Clone, PartialEq, prost::Oneof)]
--- a/components/wire/src/data.rs
+++ b/components/wire/src/data.rs
@@ -16,7 +16,7 @@
     pub body: Option<ask::Body>,
 }
 
-/// Message kinds of [`Ask`].
+/// Variants of the body of [`Ask`].
 pub mod ask {
     /// Body of a message from a front.
     #[derive(Clone, PartialEq, prost::Oneof)]
@@ -158,7 +158,7 @@
     pub body: Option<answer::Body>,
 }
 
-/// Message kinds of [`Answer`].
+/// Variants of the body of [`Answer`].
 pub mod answer {
     /// Body of a message from a keeper.
     #[derive(Clone, PartialEq, prost::Oneof)]
@@ -219,7 +219,7 @@
 #[strum(serialize_all = "kebab-case")]
 #[repr(i32)]
 pub enum Reason {
-    /// No reason: the request is done.
+    /// No reason: the outcome is [`Outcome::Done`].
     None = 0,
     /// The service's queue is full.
     QueueFull = 1,
@@ -262,7 +262,7 @@
     /// Outcome of the request, as an [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "3")]
     pub outcome: i32,
-    /// Reason, as a [`Reason`], when the request is not done.
+    /// Reason, as a [`Reason`], when the outcome is not [`Outcome::Done`].
     #[prost(enumeration = "Reason", tag = "4")]
     pub reason: i32,
     /// Transaction status from ReadyForQuery, as an ASCII byte: I, T or E.
--- a/components/wire/src/log.rs
+++ b/components/wire/src/log.rs
@@ -15,7 +15,7 @@
     pub body: Option<command::Body>,
 }
 
-/// Command kinds of [`Command`].
+/// Variants of the body of [`Command`].
 pub mod command {
     /// Body of a command.
     #[derive(Clone, PartialEq, prost::Oneof)]
--- a/components/wire/src/pack.rs
+++ b/components/wire/src/pack.rs
@@ -28,7 +28,7 @@
 
 impl std::error::Error for Malformed {}
 
-/// Compresses a text.
+/// Compresses a text with zlib.
 pub fn pack(text: &[u8]) -> Bytes {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
     let packed = encoder.write_all(text).and_then(|()| encoder.finish());
--- a/components/wire/src/quorum.rs
+++ b/components/wire/src/quorum.rs
@@ -84,7 +84,7 @@
     pub body: Option<entry::Body>,
 }
 
-/// Content kinds of [`Entry`].
+/// Variants of the body of [`Entry`].
 pub mod entry {
     /// Content of an entry.
     #[derive(Clone, PartialEq, prost::Oneof)]
@@ -115,7 +115,7 @@
     pub body: Option<message::Body>,
 }
 
-/// Message kinds of [`Message`].
+/// Variants of the body of [`Message`].
 pub mod message {
     /// Body of a message.
     #[derive(Clone, PartialEq, prost::Oneof)]
@@ -297,7 +297,7 @@
     pub body: Option<propose::Body>,
 }
 
-/// Content kinds of [`Propose`].
+/// Variants of the body of [`Propose`].
 pub mod propose {
     /// Content of a proposal.
     #[derive(Clone, PartialEq, prost::Oneof)]
--- a/programs/trefoil-local/src/cmd/run.rs
+++ b/programs/trefoil-local/src/cmd/run.rs
@@ -40,7 +40,7 @@
     let cluster = match cluster.await {
         Ok(cluster) => cluster,
         Err(report) => {
-            error!(log, "could not start the system"; "error" => format!("{report:?}"));
+            error!(log, "could not start the cluster"; "error" => format!("{report:?}"));
             return ExitCode::FAILURE;
         }
     };
