--- a/components/control/tests/leader.rs
+++ b/components/control/tests/leader.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn gives_a_sole_entry_all_until_another_joins() {
+fn gives_a_sole_entry_all_slots_until_another_joins() {
     let mut world = World::new(2, false);
     world.tell(Event::Joined(join("e1", 1, "a")));
     world.pass(Duration::from_secs(1), &[("e1", 1)]);
--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -196,7 +196,7 @@
                 }
             }
             _ = heartbeats.tick() => send_heartbeat(settings, progress, given_up, &mut writer).await?,
-            () = view.wait_for_given_up() =>
+            () = view.wait_for_given_up_lease() =>
                 send_heartbeat(settings, progress, given_up, &mut writer).await?,
             () = view.wait_for_seal() => send_seals(&view, &mut writer).await?,
             Some(symptom) = settings.symptoms.recv() => {
--- a/components/entry/src/front/dispatch.rs
+++ b/components/entry/src/front/dispatch.rs
@@ -161,7 +161,7 @@
                     forwarded |= output;
                     uncredited += part.len() as u64;
                     if uncredited >= CREDIT_STEP_BYTES {
-                        request.credit(std::mem::take(&mut uncredited)).await;
+                        request.grant_credit(std::mem::take(&mut uncredited)).await;
                     }
                 }
                 Event::End(end) => {
--- a/components/entry/src/front/keepers.rs
+++ b/components/entry/src/front/keepers.rs
@@ -47,7 +47,7 @@
         live.as_ref().filter(|link| link.is_live()).cloned()
     }
 
-    fn set(&self, link: Option<Arc<Link>>) -> Option<Arc<Link>> {
+    fn replace_link(&self, link: Option<Arc<Link>>) -> Option<Arc<Link>> {
         let mut live = self.live.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut live, link)
     }
@@ -91,7 +91,7 @@
             Ok(link) => {
                 *dial = Dial::default();
                 slot.failing.store(false, Ordering::Release);
-                slot.set(Some(Arc::clone(&link)));
+                slot.replace_link(Some(Arc::clone(&link)));
                 Ok(link)
             }
             Err(report) => {
@@ -162,7 +162,7 @@
     /// Closes all links.
     pub fn close(&self) {
         for slot in std::mem::take(&mut *self.slots()).into_values() {
-            if let Some(link) = slot.set(None) {
+            if let Some(link) = slot.replace_link(None) {
                 link.close();
             }
         }
--- a/components/entry/src/front/link.rs
+++ b/components/entry/src/front/link.rs
@@ -119,7 +119,7 @@
             ended: CancellationToken::new(),
         });
         let (reader, writer) = ends;
-        tokio::spawn(Arc::clone(&link).read(reader));
+        tokio::spawn(Arc::clone(&link).read_answers(reader));
         tokio::spawn(Arc::clone(&link).write(writer, queue));
         link
     }
@@ -266,7 +266,7 @@
         }
     }
 
-    async fn read(self: Arc<Self>, mut reader: Reader) {
+    async fn read_answers(self: Arc<Self>, mut reader: Reader) {
         loop {
             let answer = tokio::select! {
                 answer = reader.next::<Answer>() => answer,
@@ -353,7 +353,7 @@
     }
 
     /// Grants the keeper credit for `bytes` more of the answer.
-    pub async fn credit(&self, bytes: u64) {
+    pub async fn grant_credit(&self, bytes: u64) {
         self.link.add_credit(self.number, bytes);
         let credit = Credit { request: self.number, bytes };
         self.link.send(ask::Body::Credit(credit)).await;
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -179,7 +179,7 @@
     let (front, link) = host.fronts.add(answers);
     let guard = LinkGuard { host: Arc::clone(&host), front };
     let mut tasks = JoinSet::new();
-    let reading = tasks.spawn(read(Arc::clone(&host), front, Arc::clone(&link), reader));
+    let reading = tasks.spawn(read_asks(Arc::clone(&host), front, Arc::clone(&link), reader));
     tasks.spawn(write(writer, answer_queue));
     *lock(&link.task) = Some(reading);
     // the link ends when its reader or its writer ends
@@ -187,7 +187,7 @@
     drop(guard);
 }
 
-async fn read(host: Arc<Host>, front: Front, link: Arc<Link>, mut reader: Reader) {
+async fn read_asks(host: Arc<Host>, front: Front, link: Arc<Link>, mut reader: Reader) {
     loop {
         match reader.next::<Ask>().await {
             Ok(Some(ask)) => {
--- a/components/entry/src/keep/probe.rs
+++ b/components/entry/src/keep/probe.rs
@@ -75,7 +75,7 @@
 impl Target {
     /// Asks once for a report and passes the result to the shard as an event.
     async fn ask(&self, probe: &mut Option<Probe>, after: u64, wait: Duration) -> Attempt {
-        let result = self.status(probe, after, wait).await;
+        let result = self.request_status(probe, after, wait).await;
         let Some(shard) = self.shard.upgrade() else {
             return Attempt::ShardDropped;
         };
@@ -99,7 +99,7 @@
         }
     }
 
-    async fn status(
+    async fn request_status(
         &self,
         probe: &mut Option<Probe>,
         after: u64,
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -142,7 +142,7 @@
     }
 
     /// Waits until the lease of a group is given up.
-    pub async fn wait_for_given_up(&self) {
+    pub async fn wait_for_given_up_lease(&self) {
         self.shared.given_up.notified().await;
     }
 
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -30,7 +30,7 @@
     ) {
         let outcome = self.reportable_outcome(key, outcome);
         self.log_end(now, key, outcome, reason, out);
-        let end = self.end(now, key, outcome, reason);
+        let end = self.build_end(now, key, outcome, reason);
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -105,7 +105,13 @@
         };
     }
 
-    fn end(&mut self, now: Instant, key: Key<Request>, outcome: Outcome, reason: Reason) -> End {
+    fn build_end(
+        &mut self,
+        now: Instant,
+        key: Key<Request>,
+        outcome: Outcome,
+        reason: Reason,
+    ) -> End {
         let Some(request) = self.requests.get(key) else {
             return End::default();
         };
@@ -232,11 +238,17 @@
         let late = self.requests.iter().filter(|(_, request)| is_expired(request));
         let late: Vec<_> = late.map(|(key, request)| (key, request.stage)).collect();
         for (key, stage) in late {
-            self.expire_one(now, key, stage, out);
+            self.expire_request(now, key, stage, out);
         }
     }
 
-    fn expire_one(&mut self, now: Instant, key: Key<Request>, stage: Stage, out: &mut Vec<Effect>) {
+    fn expire_request(
+        &mut self,
+        now: Instant,
+        key: Key<Request>,
+        stage: Stage,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
--- a/components/member/src/beacon.rs
+++ b/components/member/src/beacon.rs
@@ -85,7 +85,7 @@
         let run = move || {
             while !token.is_cancelled() {
                 let Ok(message) = socket.recv() else { continue };
-                if let Some(beacon) = read(&key, message.as_slice()) {
+                if let Some(beacon) = decode_beacon(&key, message.as_slice()) {
                     // a beacon may be dropped if the queue is full
                     drop(core.try_send(Input::Beacon(beacon)));
                 }
@@ -126,7 +126,7 @@
     }
 }
 
-fn read(key: &Key, message: &[u8]) -> Option<Beacon> {
+fn decode_beacon(key: &Key, message: &[u8]) -> Option<Beacon> {
     let (bytes, proof) = message.split_last_chunk::<PROOF_BYTES>()?;
     if !key.verify(&[PURPOSE, bytes], proof) {
         return None;
--- a/components/member/src/disk.rs
+++ b/components/member/src/disk.rs
@@ -53,7 +53,7 @@
     let id = journal::identity(&mut folder, new_id).change_context_lazy(failure)?;
     let (journal, recovered) = Journal::open(folder).change_context_lazy(failure)?;
     let cut_bytes = recovered.cut_bytes;
-    let stored = read(recovered).change_context_lazy(failure)?;
+    let stored = decode_stored(recovered).change_context_lazy(failure)?;
     Ok(Opened { id, journal, stored, cut_bytes })
 }
 
@@ -68,10 +68,10 @@
     }
     let folder = Folder::open(path).change_context_lazy(failure)?;
     let recovered = journal::inspect(&folder).change_context_lazy(failure)?;
-    read(recovered).change_context_lazy(failure)
+    decode_stored(recovered).change_context_lazy(failure)
 }
 
-fn read(recovered: Recovered) -> Result<Stored, prost::DecodeError> {
+fn decode_stored(recovered: Recovered) -> Result<Stored, prost::DecodeError> {
     let hard = Hard { term: recovered.hard.term, vote: recovered.hard.vote };
     let mut snapshot = Snapshot::default();
     if let Some(stored) = recovered.snapshot {
--- a/components/member/src/peers.rs
+++ b/components/member/src/peers.rs
@@ -77,7 +77,7 @@
             self.add_nonmember(id);
         }
         for member in &members.members {
-            self.open(member);
+            self.open_link(member);
         }
     }
 
@@ -87,7 +87,7 @@
             return;
         }
         self.add_nonmember(member.id);
-        self.open(member);
+        self.open_link(member);
     }
 
     fn add_nonmember(&mut self, id: u64) {
@@ -101,7 +101,7 @@
         }
     }
 
-    fn open(&mut self, member: &Member) {
+    fn open_link(&mut self, member: &Member) {
         let Ok(address) = member.link.parse() else { return };
         let known = self.by_id.get(&member.id).is_some_and(|link| link.address == address);
         if known || member.id == self.endpoint.own.id {
--- a/components/member/src/standby.rs
+++ b/components/member/src/standby.rs
@@ -17,7 +17,7 @@
             Ok((stream, _)) => {
                 let (name, key, log) = (name.clone(), key.clone(), log.clone());
                 tokio::spawn(async move {
-                    if let Err(report) = answer(stream, &name, &key).await {
+                    if let Err(report) = answer_hello(stream, &name, &key).await {
                         debug!(log, "could not exchange hello messages on a link";
                             "failure" => %report);
                     }
@@ -31,7 +31,7 @@
     }
 }
 
-async fn answer(stream: TcpStream, name: &Name, key: &Key) -> Result<(), Report<Failure>> {
+async fn answer_hello(stream: TcpStream, name: &Name, key: &Key) -> Result<(), Report<Failure>> {
     let own = Peer::new(name.as_str(), 0, Purpose::Quorum);
     let (_, mut reader, mut writer) = ::link::accept(stream, &own, key).await?;
     let _hello: Option<Hello> = reader.next().await?;
--- a/components/standin/src/replication.rs
+++ b/components/standin/src/replication.rs
@@ -45,7 +45,7 @@
 // whether a batch was accepted; `None` while the server follows no primary or the
 // primary's address belongs to no server of the group
 async fn pull_batch(server: &Arc<Server>) -> Option<bool> {
-    let (term, address, term_starts, last) = server.read(|storage| {
+    let (term, address, term_starts, last) = server.with_storage(|storage| {
         let log = &storage.log;
         Some((log.term(), log.following()?, log.term_starts().to_vec(), log.last().position))
     })?;
@@ -55,7 +55,7 @@
     }
     let mut changes = primary.changes();
     changes.borrow_and_update();
-    let batch = primary.read(|storage| storage.log.next_batch(term, &term_starts, last));
+    let batch = primary.with_storage(|storage| storage.log.next_batch(term, &term_starts, last));
     tokio::time::sleep(NETWORK_DELAY).await;
     let Some(batch) = batch.filter(|_| server.is_connected_to(&primary)) else {
         return Some(false);
--- a/components/standin/src/server.rs
+++ b/components/standin/src/server.rs
@@ -146,7 +146,7 @@
         tasks.spawn(run_until(token.clone(), replication::apply_entries(Arc::clone(self))));
         tasks.spawn(run_until(token.clone(), announce::run(Arc::clone(self))));
         *lock(&self.lifecycle) = Lifecycle::Running { token, data, tasks };
-        if let Some(rebuild) = self.read(Storage::unfinished_rebuild) {
+        if let Some(rebuild) = self.with_storage(Storage::unfinished_rebuild) {
             self.spawn(replication::rebuild_database(Arc::clone(self), rebuild));
         }
         Ok(())
@@ -232,8 +232,8 @@
 
     /// Runs a function on log and database without notifying the receivers of
     /// [`Server::changes`].
-    pub fn read<T>(&self, read: impl FnOnce(&mut Storage) -> T) -> T {
-        read(&mut lock(&self.storage))
+    pub fn with_storage<T>(&self, function: impl FnOnce(&mut Storage) -> T) -> T {
+        function(&mut lock(&self.storage))
     }
 
     /// Changes log or database, and notifies the receivers of [`Server::changes`] if
@@ -315,7 +315,7 @@
     pub fn status(&self) -> Status {
         let last_contact = Instant::from_micros(self.last_contact.load(Ordering::Acquire));
         let silence = self.now().since(last_contact);
-        self.read(|storage| Status {
+        self.with_storage(|storage| Status {
             server: self.name.clone(),
             incarnation: self.incarnation(),
             term: storage.log.term(),
--- a/components/standin/src/session/run.rs
+++ b/components/standin/src/session/run.rs
@@ -175,7 +175,7 @@
         let status = self.server.call(function).await?;
         let (columns, row) = match function {
             Function::Mark => {
-                let mark = self.server.read(|storage| storage.log.applied());
+                let mark = self.server.with_storage(|storage| storage.log.applied());
                 let numbers =
                     [mark.term.0, mark.position.0].map(|n| Value::Integer(n.cast_signed()));
                 (vec!["term", "position"], numbers.to_vec())
@@ -190,14 +190,14 @@
 
     fn savepoint(&mut self, statement: Statement) -> Result<Outcome, Rejection> {
         let tag = sql::command_tag(&statement.sql, 0, 0);
-        let primary = self.server.read(|storage| storage.log.role()) == Role::Primary;
+        let primary = self.server.with_storage(|storage| storage.log.role()) == Role::Primary;
         let open = self.transaction.get_or_insert_default();
         let failed = std::mem::take(&mut open.failed);
         if !primary {
             return Ok(Outcome::without_rows(&tag));
         }
         let server = &self.server;
-        match server.read(|storage| storage.dry_run(open, &statement)) {
+        match server.with_storage(|storage| storage.dry_run(open, &statement)) {
             Ok(output) => {
                 open.writes.push(Write { statement, output });
                 Ok(Outcome::without_rows(&tag))
@@ -216,7 +216,7 @@
         let output = self.execute_now(&statement)?;
         let tag = sql::command_tag(&statement.sql, output.rows.len(), output.changed);
         if !output.read_only {
-            let term = self.server.read(|storage| storage.log.term());
+            let term = self.server.with_storage(|storage| storage.log.term());
             let open = self.transaction.get_or_insert_default();
             open.term.get_or_insert(term);
             open.writes.push(Write { statement, output: output.clone() });
@@ -236,18 +236,18 @@
             }
         }
         let open = self.transaction.as_ref().unwrap_or(&empty);
-        self.server.read(|storage| storage.dry_run(open, statement))
+        self.server.with_storage(|storage| storage.dry_run(open, statement))
     }
 
     fn count_read(&self) {
         if !self.is_probe && self.transaction.is_none() {
-            let primary = self.server.read(|storage| storage.log.role()) == Role::Primary;
+            let primary = self.server.with_storage(|storage| storage.log.role()) == Role::Primary;
             self.server.counters.record_read(primary);
         }
     }
 
     fn reader(&mut self) -> Result<&Connection, Rejection> {
-        let (generation, path) = self.server.read(|storage| storage.database())?;
+        let (generation, path) = self.server.with_storage(|storage| storage.database())?;
         let current = self.reader.take().filter(|(opened, _)| *opened == generation);
         let reader = match current {
             Some(reader) => reader,
@@ -266,7 +266,7 @@
         }
         match &self.transaction {
             Some(open) if !open.writes.is_empty() => {
-                self.server.read(|storage| storage.describe(open, sql))
+                self.server.with_storage(|storage| storage.describe(open, sql))
             }
             _ => sqlite::describe(self.reader()?, sql),
         }
@@ -291,7 +291,7 @@
 ) -> Result<(SemaphorePermit<'a>, Guard<'a>), Rejection> {
     let queued = server.slots.available_permits() == 0;
     if queued {
-        let role = server.read(|storage| storage.log.role());
+        let role = server.with_storage(|storage| storage.log.role());
         debug!(server.log, "statement is waiting for a free slot"; "role" => %role);
     }
     let guard = server.counters.start_statement(queued);
