--- a/components/backend/src/sql.rs
+++ b/components/backend/src/sql.rs
@@ -26,8 +26,9 @@
 /// User and database name of probes; servers reserve connections for this user.
 pub const USER: &str = "trefoil_probe";
 
-/// Time, in addition to the wait of a request, after which a server counts as
-/// silent.
+/// Time limit for connecting and for each request, after which a server counts as
+/// silent. For a status request, the time that the server may wait for a change
+/// before it answers is added.
 pub const TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A probe over one PostgreSQL connection.
@@ -50,8 +51,8 @@
 }
 
 impl Probe {
-    /// Connects to a server. `timeout` limits the time for connecting and, in addition
-    /// to the wait of the request, the time for each request.
+    /// Connects to a server. `timeout` limits the time for connecting and the time for
+    /// each request; a status request gets its wait for a change in addition.
     ///
     /// # Errors
     /// [`Failure::Refused`] when nothing listens, [`Failure::Timeout`], or
--- a/components/control/tests/designation.rs
+++ b/components/control/tests/designation.rs
@@ -324,7 +324,8 @@
     let mut world = World::new();
     world.crash();
     world.heartbeats = vec![("e1", 1)];
-    // the earlier leader removed the entry and may have confirmed a heartbeat since
+    // the earlier leader removed e2; e2 may not know of it yet, and the earlier leader
+    // may have confirmed a heartbeat of e2 after the removal
     let departure = Leave { entry: "e2".to_owned(), incarnation: 1, over: false };
     world.commit(command::Body::Leave(departure));
     world.leader =
--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -23,7 +23,8 @@
 use crate::front::link::Link;
 use crate::front::{Front, Phase, wait_for_input};
 
-/// Maximum number of values, and of prepared statements, in one session.
+/// Maximum number of values set by `Statement::Set` in one session, and likewise of
+/// prepared statements; each kind is counted separately.
 const SESSION_ITEMS: usize = 1_024;
 
 /// State of a caller's transaction.
--- a/components/entry/src/keep/answer.rs
+++ b/components/entry/src/keep/answer.rs
@@ -63,7 +63,7 @@
     Ok(Some(Message { kind, bytes: buffer.split_to(length) }))
 }
 
-/// Result of adding messages to an [`Assembler`].
+/// Step in the answer to a query cycle that an [`Assembler`] found complete.
 #[derive(Debug)]
 pub(super) enum Step {
     /// A piece is complete.
--- a/components/keeper/src/reads.rs
+++ b/components/keeper/src/reads.rs
@@ -97,7 +97,9 @@
 }
 
 impl Group {
-    /// Requests the samples that a read needs.
+    /// Notes which sample a read needs, for the next sampling round: a sample of the
+    /// primary's position taken after the read arrived, or one within the age that the
+    /// read accepts.
     pub(crate) fn request_sample_for(&mut self, now: Instant, key: Key<Request>) {
         let Some(request) = self.requests.get(key) else {
             return;
--- a/components/keeper/src/resolve.rs
+++ b/components/keeper/src/resolve.rs
@@ -247,7 +247,10 @@
     primary && status.incarnation == attempt.incarnation
 }
 
-/// Derives the outcome of a cycle from the history of a later term.
+/// Derives the outcome of the cycle in `attempt` from the history of an established
+/// term: the log positions at which terms start. If the first term after that of the
+/// attempt starts at or before the server's position before the attempt, the log
+/// kept no write of the cycle from the term of the attempt.
 fn outcome_by_history(attempt: &Attempt, established: &Established) -> Outcome {
     let Some(next) = established.history.start_after(attempt.term) else {
         return Outcome::Unknown;
--- a/components/load/src/caller.rs
+++ b/components/load/src/caller.rs
@@ -159,7 +159,7 @@
         self.shared.answered.fetch_add(1, Ordering::Relaxed);
         let elapsed = self.shared.clock.now().since(started).as_micros() as u64;
         let new_histogram =
-            || Histogram::new(LATENCY_DIGITS).expect("the number of digits is valid");
+            || Histogram::new(LATENCY_DIGITS).expect("the number of significant digits is valid");
         let histogram =
             self.journal.latencies.entry(request.to_string()).or_insert_with(new_histogram);
         // the histogram resizes itself to any value
--- a/components/load/src/run.rs
+++ b/components/load/src/run.rs
@@ -187,7 +187,8 @@
     progress: Progress<'_>,
     verdict: &mut Verdict,
 ) -> Result<Histogram<u64>, Report<Failure>> {
-    let mut pauses = Histogram::new(LATENCY_DIGITS).expect("the number of digits is valid");
+    let mut pauses =
+        Histogram::new(LATENCY_DIGITS).expect("the number of significant digits is valid");
     let end = shared.clock.now() + length;
     wait(shared, WARMUP, end, length, progress).await;
     let cycle = FAULT_LENGTH + RECOVERY_LENGTH;
@@ -263,7 +264,7 @@
     }
     for (kind, histogram) in journals.iter().flat_map(|journal| &journal.latencies) {
         let new_histogram =
-            || Histogram::new(LATENCY_DIGITS).expect("the number of digits is valid");
+            || Histogram::new(LATENCY_DIGITS).expect("the number of significant digits is valid");
         let total: &mut Histogram<u64> =
             latencies.entry(kind.clone()).or_insert_with(new_histogram);
         // histograms with the same number of digits that resize themselves can
--- a/components/pg/src/prepared.rs
+++ b/components/pg/src/prepared.rs
@@ -37,7 +37,7 @@
     pub text: String,
     /// Object ids of the parameter types, as given by the caller.
     pub types: Vec<u32>,
-    /// Classification of the text.
+    /// Classes of the SQL statements in the text, and the request kind that it states.
     pub scan: Scan,
 }
 
--- a/components/standin/src/storage.rs
+++ b/components/standin/src/storage.rs
@@ -156,8 +156,8 @@
         Ok(())
     }
 
-    /// Appends a batch to the log; if applied entries are truncated, also returns the
-    /// rebuild of the database.
+    /// Appends a batch to the log. If applied entries are truncated, the database must
+    /// be rebuilt from the log; the [`Rebuild`] for this is then returned too.
     pub fn receive(
         &mut self,
         now: Instant,
--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -43,7 +43,8 @@
 /// Starts to follow the control log after an index.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Follow {
-    /// Description of the entry.
+    /// Description of the entry that follows the log. Entries always set the field; a
+    /// member ignores a request without it.
     #[prost(message, optional, tag = "1")]
     pub join: Option<Join>,
     /// Last index that the entry has applied; zero when it has applied none.
--- a/components/wire/src/quorum.rs
+++ b/components/wire/src/quorum.rs
@@ -401,7 +401,8 @@
 /// confirmed to the entry.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Heartbeat {
-    /// Description of the entry.
+    /// Description of the entry that sent the heartbeat. Members always set the field;
+    /// the leader ignores a heartbeat without it.
     #[prost(message, optional, tag = "1")]
     pub join: Option<Join>,
     /// Last index that the entry has applied.
--- a/programs/trefoil-control/src/cli.rs
+++ b/programs/trefoil-control/src/cli.rs
@@ -69,7 +69,7 @@
     #[strum(to_string = "the member ended without a signal; see its log for the reason")]
     Ended,
     /// The data folder could not be read, or its contents not printed.
-    #[strum(to_string = "could not read the data folder")]
+    #[strum(to_string = "could not read the data folder or print its contents")]
     Data,
 }
 
