--- a/components/entry/src/front/plain/caller.rs
+++ b/components/entry/src/front/plain/caller.rs
@@ -23,8 +23,8 @@
 use crate::front::link::Link;
 use crate::front::{Front, Phase, wait_for_input};
 
-/// Maximum number of values set by `Statement::Set` in one session, and likewise of
-/// prepared statements; each kind is counted separately.
+/// Maximum number of session variables in one session, and likewise of prepared
+/// statements; each kind is counted separately.
 const SESSION_ITEMS: usize = 1_024;
 
 /// State of a caller's transaction.
@@ -51,6 +51,7 @@
     /// Mark of the newest write of the session; reads of the session must not show
     /// older data.
     floor: Option<Mark>,
+    /// Session variables: values by name.
     values: BTreeMap<Bytes, Bytes>,
     prepared: BTreeMap<Bytes, (Access, Bytes)>,
     transaction: Transaction,
