--- a/components/control/src/leader.rs
+++ b/components/control/src/leader.rs
@@ -2,7 +2,7 @@
 //!
 //! A leader stores nothing: each election creates a new leader, which learns from
 //! heartbeats, announcements and probes all that the replicated state does not
-//! contain. The host of a leader passes events to it, proposes the commands that it
+//! contain. The driver of a leader passes events to it, proposes the commands that it
 //! requests, and executes its probes.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -45,7 +45,7 @@
     /// Promote the server to primary of the term at which it was fenced.
     Promote(Term),
     /// Make a server of an unfenced group the primary, through the interface that
-    /// promotes such servers. The host sends this request only while a quorum
+    /// promotes such servers. The driver sends this request only while a quorum
     /// confirms that its member leads.
     Designate {
         /// Fencing token; rises with each leader.
@@ -86,7 +86,7 @@
     },
     /// A backend server announced itself, for the first time or as a renewal.
     Announced(Announce),
-    /// An entry sent a heartbeat to renew its leases. The host must pass this event
+    /// An entry sent a heartbeat to renew its leases. The driver must pass this event
     /// to the leader before it confirms the heartbeat.
     Heartbeat {
         /// Name of the entry.
@@ -137,12 +137,12 @@
     },
 }
 
-/// Output of the leader, for its host to execute.
+/// Output of the leader, for its driver to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Append a command to the log.
     Propose(Command),
-    /// Send a request to a backend server; the host reports the result with
+    /// Send a request to a backend server; the driver reports the result with
     /// [`Event::Probed`]. An order, which is any request but [`Ask::Status`], must
     /// not wait behind a status request to the same server.
     Probe {
--- a/components/control/src/overview.rs
+++ b/components/control/src/overview.rs
@@ -1,6 +1,6 @@
 //! Status report for operators: the body of `GET /v1/status`.
 //!
-//! The host adds the data of the quorum. Data that only the leader has (lag,
+//! The driver adds the data of the quorum. Data that only the leader has (lag,
 //! applied indexes, causes and durations of failovers) is missing in the report of
 //! other members.
 
--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -25,7 +25,7 @@
 
 use crate::view::{Symptoms, View};
 pub use controls::Controls;
-use progress::{CONFIRM_TIMEOUT, Fault, Progress};
+use progress::{CONFIRM_TIMEOUT, Failure, Progress};
 
 /// Limit on the random wait before the first dial after a failure. The limit doubles,
 /// up to [`MAX_BACKOFF`], after each further link without a confirmed heartbeat.
@@ -96,11 +96,11 @@
     /// [`Handle::leave`] was called or the handle was dropped.
     Left,
     /// The link failed; `confirmed` says whether the member had confirmed a heartbeat.
-    Failed { confirmed: bool, report: Report<Fault> },
+    Failed { confirmed: bool, report: Report<Failure> },
 }
 
 async fn run(mut settings: Settings, mut leave: oneshot::Receiver<()>) {
-    let mut given_up = Vec::new();
+    let mut released = Vec::new();
     let mut backoff = Duration::ZERO;
     let mut last = None;
     loop {
@@ -114,7 +114,7 @@
             () = sleep(jitter(backoff)) => {}
             _ = &mut leave => return,
         }
-        match follow_member(&mut settings, address, &mut given_up, &mut leave).await {
+        match follow_member(&mut settings, address, &mut released, &mut leave).await {
             End::Left => return,
             End::Failed { confirmed, report } => {
                 slog::info!(settings.log, "left a control member"; "address" => %address, "reason" => %report);
@@ -148,22 +148,25 @@
 async fn follow_member(
     settings: &mut Settings,
     address: SocketAddr,
-    given_up: &mut Vec<Name>,
+    released: &mut Vec<Name>,
     leave: &mut oneshot::Receiver<()>,
 ) -> End {
     let mut progress = Progress::new(settings.clock.now(), settings.join.clone());
-    match follow(settings, address, &mut progress, given_up, leave).await {
+    match follow(settings, address, &mut progress, released, leave).await {
         Ok(()) => End::Left,
         Err(report) => End::Failed { confirmed: progress.has_confirmed(), report },
     }
 }
 
-async fn dial(settings: &Settings, address: SocketAddr) -> Result<(Reader, Writer), Report<Fault>> {
+async fn dial(
+    settings: &Settings,
+    address: SocketAddr,
+) -> Result<(Reader, Writer), Report<Failure>> {
     let join = &settings.join;
     let own = Peer::new(&join.entry, join.incarnation, Purpose::Control);
     let dialled = timeout(DIAL_TIMEOUT, link::dial(address, &own, &settings.key)).await;
     let (_peer, reader, writer) =
-        dialled.change_context(Fault::Link)?.change_context(Fault::Link)?;
+        dialled.change_context(Failure::Link)?.change_context(Failure::Link)?;
     Ok((reader, writer))
 }
 
@@ -171,9 +174,9 @@
     settings: &mut Settings,
     address: SocketAddr,
     progress: &mut Progress,
-    given_up: &mut Vec<Name>,
+    released: &mut Vec<Name>,
     leave: &mut oneshot::Receiver<()>,
-) -> Result<(), Report<Fault>> {
+) -> Result<(), Report<Failure>> {
     let (mut reader, mut writer) = dial(settings, address).await?;
     let view = settings.view.clone();
     let applied = view.read(|state| state.index);
@@ -185,19 +188,19 @@
     loop {
         tokio::select! {
             message = reader.next::<Down>() => {
-                let message = message.change_context(Fault::Link)?.ok_or(Fault::Closed)?;
+                let message = message.change_context(Failure::Link)?.ok_or(Failure::Closed)?;
                 if let Some(down::Body::Members(members)) = &message.body {
                     settings.controls.learn(members);
                 }
                 progress.on(&view, message)?;
-                progress.collect_given_up(&view, given_up);
+                progress.collect_released(&view, released);
                 if progress.has_reduced_lease(&view) {
-                    send_heartbeat(settings, progress, given_up, &mut writer).await?;
+                    send_heartbeat(settings, progress, released, &mut writer).await?;
                 }
             }
-            _ = heartbeats.tick() => send_heartbeat(settings, progress, given_up, &mut writer).await?,
-            () = view.wait_for_given_up_lease() =>
-                send_heartbeat(settings, progress, given_up, &mut writer).await?,
+            _ = heartbeats.tick() => send_heartbeat(settings, progress, released, &mut writer).await?,
+            () = view.wait_for_released_lease() =>
+                send_heartbeat(settings, progress, released, &mut writer).await?,
             () = view.wait_for_seal() => send_seals(&view, &mut writer).await?,
             Some(symptom) = settings.symptoms.recv() => {
                 send(&mut writer, up::Body::Symptom(symptom)).await?;
@@ -224,22 +227,22 @@
 async fn send_heartbeat(
     settings: &Settings,
     progress: &mut Progress,
-    given_up: &mut Vec<Name>,
+    released: &mut Vec<Name>,
     writer: &mut Writer,
-) -> Result<(), Report<Fault>> {
-    let heartbeat = progress.next_heartbeat(settings.clock.now(), &settings.view, given_up);
+) -> Result<(), Report<Failure>> {
+    let heartbeat = progress.next_heartbeat(settings.clock.now(), &settings.view, released);
     send(writer, up::Body::Heartbeat(heartbeat)).await
 }
 
-async fn send_seals(view: &View, writer: &mut Writer) -> Result<(), Report<Fault>> {
+async fn send_seals(view: &View, writer: &mut Writer) -> Result<(), Report<Failure>> {
     for seal in view.seals() {
         send(writer, up::Body::Seal(seal)).await?;
     }
     Ok(())
 }
 
-async fn send(writer: &mut Writer, body: up::Body) -> Result<(), Report<Fault>> {
+async fn send(writer: &mut Writer, body: up::Body) -> Result<(), Report<Failure>> {
     let message = Up { body: Some(body) };
     let sent = timeout(CONFIRM_TIMEOUT, writer.send(&message)).await;
-    sent.change_context(Fault::Link)?.change_context(Fault::Link)
+    sent.change_context(Failure::Link)?.change_context(Failure::Link)
 }
--- a/components/entry/src/follow/progress.rs
+++ b/components/entry/src/follow/progress.rs
@@ -34,7 +34,7 @@
 
 /// Reason for which the entry gives up a link to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Failure {
     /// The link could not be established, or failed.
     Link,
     /// The member closed the link.
@@ -56,7 +56,7 @@
     Image,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Link => f.write_str("the link to control failed"),
@@ -72,7 +72,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Failure {}
 
 /// An image of which some pieces have been received.
 #[derive(Debug)]
@@ -127,19 +127,19 @@
         self.confirmed
     }
 
-    /// Adds to `given_up` the groups whose leases were given up since the last call,
+    /// Adds to `released` the groups whose leases were released since the last call,
     /// and removes from it those whose leases are no longer returning according to the
     /// state. Must be called after each change of the state: otherwise a group that is
     /// leased to this entry again, and whose new lease is then taken back, would still
-    /// be listed as given up. Returns the index of the state that was read.
-    pub fn collect_given_up(&self, view: &View, given_up: &mut Vec<Name>) -> u64 {
-        for group in view.take_returned() {
-            if !given_up.contains(&group) {
-                given_up.push(group);
+    /// be listed as released. Returns the index of the state that was read.
+    pub fn collect_released(&self, view: &View, released: &mut Vec<Name>) -> u64 {
+        for group in view.take_released() {
+            if !released.contains(&group) {
+                released.push(group);
             }
         }
         view.read(|state| {
-            given_up.retain(|group| self.is_returning(state, group));
+            released.retain(|group| self.is_returning(state, group));
             state.index
         })
     }
@@ -159,18 +159,18 @@
         reduced.max().unwrap_or_default()
     }
 
-    /// Creates the next heartbeat, which lists all groups that were given up.
+    /// Creates the next heartbeat, which lists all groups whose leases were released.
     pub fn next_heartbeat(
         &mut self,
         now: Instant,
         view: &View,
-        given_up: &mut Vec<Name>,
+        released: &mut Vec<Name>,
     ) -> Heartbeat {
         self.sequence += 1;
         self.sent.push_back((self.sequence, now));
-        let applied = self.collect_given_up(view, given_up);
+        let applied = self.collect_released(view, released);
         self.acknowledged = view.read(|state| self.last_reduction(state)).min(applied);
-        let returned = given_up.iter().map(Name::to_string).collect();
+        let returned = released.iter().map(Name::to_string).collect();
         Heartbeat { sequence: self.sequence, applied, returned }
     }
 
@@ -182,13 +182,13 @@
     /// Handles a message from the member.
     ///
     /// # Errors
-    /// Returns a [`Fault`] after which the link must be closed.
-    pub fn on(&mut self, view: &View, message: Down) -> Result<(), Report<Fault>> {
+    /// Returns a [`Failure`] after which the link must be closed.
+    pub fn on(&mut self, view: &View, message: Down) -> Result<(), Report<Failure>> {
         match message.body {
             Some(down::Body::Image(image)) => self.receive_image(view, &image)?,
             Some(down::Body::Entries(entries)) => apply(view, entries)?,
             Some(down::Body::Confirm(confirm)) => self.confirm(confirm),
-            Some(down::Body::Refuse(_)) => return Err(Report::new(Fault::Refused)),
+            Some(down::Body::Refuse(_)) => return Err(Report::new(Failure::Refused)),
             Some(down::Body::Members(_)) | None => {}
         }
         self.extend_lease(view);
@@ -199,18 +199,18 @@
     /// of bytes received of a message that is not complete yet.
     ///
     /// # Errors
-    /// Returns [`Fault::Silent`] or [`Fault::Absent`].
+    /// Returns [`Failure::Silent`] or [`Failure::Absent`].
     pub fn check(
         &mut self,
         now: Instant,
         view: &View,
         unfinished: usize,
-    ) -> Result<(), Report<Fault>> {
+    ) -> Result<(), Report<Failure>> {
         if self.unfinished.0 != unfinished {
             self.unfinished = (unfinished, now);
         }
         if self.is_silent(now) {
-            return Err(Report::new(Fault::Silent));
+            return Err(Report::new(Failure::Silent));
         }
         let own_incarnation =
             |state: &State| state.entries.get(self.join.entry.as_str()).map(|e| e.incarnation);
@@ -219,7 +219,7 @@
             self.last_present = now;
         }
         if now.since(self.last_present) > REJOIN_TIMEOUT {
-            return Err(Report::new(Fault::Absent));
+            return Err(Report::new(Failure::Absent));
         }
         Ok(())
     }
@@ -258,23 +258,23 @@
         });
     }
 
-    fn receive_image(&mut self, view: &View, image: &Image) -> Result<(), Report<Fault>> {
+    fn receive_image(&mut self, view: &View, image: &Image) -> Result<(), Report<Failure>> {
         if image.offset == 0 {
             self.image = Some(PartialImage { index: image.index, bytes: BytesMut::new() });
         }
-        let partial = self.image.as_mut().ok_or(Fault::Image)?;
+        let partial = self.image.as_mut().ok_or(Failure::Image)?;
         let is_next = partial.index == image.index && partial.bytes.len() as u64 == image.offset;
         if !is_next || image.length > MAX_IMAGE_BYTES {
-            return Err(Report::new(Fault::Image));
+            return Err(Report::new(Failure::Image));
         }
         partial.bytes.extend_from_slice(&image.bytes);
         if (partial.bytes.len() as u64) < image.length {
             return Ok(());
         }
-        let state = State::decode(&partial.bytes).change_context(Fault::Image)?;
+        let state = State::decode(&partial.bytes).change_context(Failure::Image)?;
         self.image = None;
         if state.index != image.index {
-            return Err(Report::new(Fault::Image));
+            return Err(Report::new(Failure::Image));
         }
         if state.index > view.read(|current| current.index) {
             view.write(|current| *current = state);
@@ -283,7 +283,7 @@
     }
 }
 
-fn apply(view: &View, entries: wire::control::Entries) -> Result<(), Report<Fault>> {
+fn apply(view: &View, entries: wire::control::Entries) -> Result<(), Report<Failure>> {
     let mut applied = view.read(|state| state.index);
     let mut new_entries = Vec::with_capacity(entries.entries.len());
     for entry in entries.entries {
@@ -291,7 +291,7 @@
             continue;
         }
         if entry.index != applied + 1 {
-            return Err(Report::new(Fault::Gap { due: applied + 1, found: entry.index }));
+            return Err(Report::new(Failure::Gap { due: applied + 1, found: entry.index }));
         }
         applied = entry.index;
         new_entries.push(entry);
--- a/components/entry/src/keep/conn.rs
+++ b/components/entry/src/keep/conn.rs
@@ -28,7 +28,7 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Length of a connection's command queue.
-pub(super) const COMMAND_QUEUE: usize = 16;
+pub(super) const QUEUE_COMMANDS: usize = 16;
 
 /// Bytes of buffer space for one read from the socket.
 const READ_BYTES: usize = 32 << 10;
@@ -111,7 +111,7 @@
 
 /// Starts a connection's task.
 pub(super) fn open(shard: &Arc<Shard>, conn: Key<Connection>, address: SocketAddr) -> Control {
-    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
+    let (commands, command_queue) = mpsc::channel(QUEUE_COMMANDS);
     let (paused, pause_changes) = watch::channel(false);
     let shard = Arc::clone(shard);
     let task = tokio::spawn(async move {
@@ -135,7 +135,7 @@
 ) -> Result<(), Report<Failure>> {
     let opened = tokio::time::timeout(OPEN_TIMEOUT, log_in(shard.name(), address)).await;
     let (read, write, buffer, cancel_key) = opened.change_context(Failure::Timeout)??;
-    let (bytes, outgoing) = mpsc::channel(COMMAND_QUEUE);
+    let (bytes, outgoing) = mpsc::channel(QUEUE_COMMANDS);
     let writer = tokio::spawn(write_all(write, outgoing));
     shard.feed(Event::Opened { conn });
     let mut session = Session {
--- a/components/entry/src/keep/front.rs
+++ b/components/entry/src/keep/front.rs
@@ -18,7 +18,7 @@
 use super::{Host, lock};
 
 /// Length of a link's answer queue; a link whose queue is full is closed.
-const ANSWER_QUEUE: usize = 16 << 10;
+const QUEUE_ANSWERS: usize = 16 << 10;
 
 /// Number of buffered bytes at which a writer flushes while answers still wait.
 const FLUSH_BYTES: usize = 256 << 10;
@@ -175,7 +175,7 @@
     if peer.purpose != Purpose::Data as i32 {
         return;
     }
-    let (answers, answer_queue) = mpsc::channel(ANSWER_QUEUE);
+    let (answers, answer_queue) = mpsc::channel(QUEUE_ANSWERS);
     let (front, link) = host.fronts.add(answers);
     let guard = LinkGuard { host: Arc::clone(&host), front };
     let mut tasks = JoinSet::new();
--- a/components/entry/src/keep/plain.rs
+++ b/components/entry/src/keep/plain.rs
@@ -13,14 +13,14 @@
 use base::prelude::*;
 use bytes::{Bytes, BytesMut};
 use keeper::{Connection, Event, Kind, Outage, Piece, Reported};
-use plain::{Access, Dialect, Fault, Order, Reply, Status};
+use plain::{Access, Dialect, ErrorKind, Order, Reply, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use wire::Message as _;
 use wire::plain::{Begin, Task, Value};
 
-use super::conn::{COMMAND_QUEUE, CloseGuard, Command, Control};
+use super::conn::{CloseGuard, Command, Control, QUEUE_COMMANDS};
 use super::shard::Shard;
 
 /// Timeout for connecting, and again for starting the session.
@@ -59,7 +59,7 @@
     address: SocketAddr,
     dialect: Arc<dyn Dialect>,
 ) -> Control {
-    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
+    let (commands, command_queue) = mpsc::channel(QUEUE_COMMANDS);
     let (paused, _) = watch::channel(false);
     let shard = Arc::clone(shard);
     let task = tokio::spawn(async move {
@@ -121,7 +121,7 @@
             return Err(report);
         }
     };
-    let reported = Reported { status: b'I', fault: None, mark, sent };
+    let reported = Reported { status: b'I', error_kind: None, mark, sent };
     shard.feed(Event::Reported { conn, reported });
     session.serve(&mut commands).await
 }
@@ -144,7 +144,7 @@
     /// Total length of `rows` in bytes.
     rows_bytes: usize,
     complete: Option<Bytes>,
-    error: Option<(Fault, Bytes)>,
+    error: Option<(ErrorKind, Bytes)>,
     /// Time when the first [`Order`] of the command was sent to the server.
     sent: Instant,
 }
@@ -301,8 +301,8 @@
                 work.complete = Some(complete);
                 Ok(())
             }
-            Reply::Error { fault, text } if !is_answered => {
-                work.error = Some((fault, text));
+            Reply::Error { error_kind, text } if !is_answered => {
+                work.error = Some((error_kind, text));
                 Ok(())
             }
             Reply::Ready { status, mark } if is_answered => self.finish_step(status, mark).await,
@@ -319,21 +319,23 @@
         let Some(work) = self.work.take() else {
             return Err(Report::new(Failure::Disorder));
         };
-        let fault = work.error.as_ref().map(|(fault, _)| *fault);
-        self.record_step(&work.current, fault);
-        if fault.is_none() && !work.steps.is_empty() {
+        let error_kind = work.error.as_ref().map(|(error_kind, _)| *error_kind);
+        self.record_step(&work.current, error_kind);
+        if error_kind.is_none() && !work.steps.is_empty() {
             return self.send_next(work.steps, work.sent).await;
         }
         let (conn, last) = (self.conn, work.steps.is_empty());
         // if a step before the statement failed, the statement did not run
-        let fault = if last { fault } else { fault.map(not_run_fault) };
+        let error_kind = if last { error_kind } else { error_kind.map(not_run_error) };
         if last && is_statement(&work.current) {
             let reply = wire::plain::Reply {
                 rows: work.rows,
                 complete: work.complete,
                 error: work.error.map(|(_, text)| text),
             };
-            if fault.is_none_or(|fault| !fault.is_not_run()) || status != Status::Idle {
+            if error_kind.is_none_or(|error_kind| !error_kind.is_not_run())
+                || status != Status::Idle
+            {
                 let piece = Piece { bytes: reply.encode_to_vec().into(), kind: Kind::Complete };
                 self.shard.feed(Event::Piece { conn, piece });
             }
@@ -343,22 +345,24 @@
             Status::Open => b'T',
             Status::Failed => b'E',
         };
-        let reported = Reported { status, fault, mark, sent: work.sent };
+        let reported = Reported { status, error_kind, mark, sent: work.sent };
         self.shard.feed(Event::Reported { conn, reported });
         Ok(())
     }
 
     /// Records the effect of a step on the connection's session.
-    fn record_step(&mut self, order: &Order, fault: Option<Fault>) {
+    fn record_step(&mut self, order: &Order, error_kind: Option<ErrorKind>) {
         match order {
-            Order::Set { name, value } if fault.is_none() => {
+            Order::Set { name, value } if error_kind.is_none() => {
                 self.values.insert(name.clone(), value.clone());
             }
-            Order::Prepare { number, access, shape } if fault.is_none() => {
+            Order::Prepare { number, access, shape } if error_kind.is_none() => {
                 self.prepared.insert((*access, shape.clone()), *number);
             }
             // the next task prepares its statement again
-            Order::Execute { .. } if fault == Some(Fault::Unprepared) => self.prepared.clear(),
+            Order::Execute { .. } if error_kind == Some(ErrorKind::Unprepared) => {
+                self.prepared.clear();
+            }
             _ => {}
         }
     }
@@ -386,8 +390,8 @@
     matches!(order, Order::Run { .. } | Order::Execute { .. })
 }
 
-/// Returns the fault of a statement that did not run because a step before it
+/// Returns the kind of error of a statement that did not run because a step before it
 /// failed.
-fn not_run_fault(fault: Fault) -> Fault {
-    if fault.is_not_run() { fault } else { Fault::Busy }
+fn not_run_error(error_kind: ErrorKind) -> ErrorKind {
+    if error_kind.is_not_run() { error_kind } else { ErrorKind::Busy }
 }
--- a/components/entry/src/keep/shard.rs
+++ b/components/entry/src/keep/shard.rs
@@ -243,7 +243,7 @@
                 self.host.view.seal(wire::control::Seal { group, term: term.0, mark, index });
             }
             Effect::Wake(at) => drop(self.wake.send_replace(at)),
-            Effect::ReleaseLease => self.host.view.give_up(self.name.clone()),
+            Effect::ReleaseLease => self.host.view.release_lease(self.name.clone()),
             Effect::Count(count) => self.host.metrics.count(count),
             Effect::Log(ended) => self.log_end(&ended),
         }
--- a/components/entry/src/view.rs
+++ b/components/entry/src/view.rs
@@ -12,7 +12,7 @@
 
 /// Length of the queue of symptoms for the link to control. While the queue is full,
 /// new symptoms are dropped; a keeper reports a symptom again while it persists.
-const SYMPTOM_QUEUE: usize = 256;
+const QUEUE_SYMPTOMS: usize = 256;
 
 /// Shared handle to the control state as this entry has applied it.
 #[derive(Clone, Debug)]
@@ -29,11 +29,11 @@
     lease_until: AtomicU64,
     /// Notified when the lease is extended.
     lease_extended: Notify,
-    /// Groups whose leases were given up since the last call of
-    /// [`View::take_returned`].
-    returned: Mutex<Vec<Name>>,
-    /// Notified when the lease of a group is given up.
-    given_up: Notify,
+    /// Groups whose leases were released since the last call of
+    /// [`View::take_released`].
+    released: Mutex<Vec<Name>>,
+    /// Notified when the lease of a group is released.
+    lease_released: Notify,
     /// Newest seal of each group: the report to control that the keeper has ended its
     /// work for the earlier primaries of the group.
     seals: Mutex<BTreeMap<String, Seal>>,
@@ -47,13 +47,13 @@
 impl View {
     /// Creates a view of an empty control state, without a lease.
     pub fn new() -> (Self, Symptoms) {
-        let (symptoms, reported) = mpsc::channel(SYMPTOM_QUEUE);
+        let (symptoms, reported) = mpsc::channel(QUEUE_SYMPTOMS);
         let shared = Shared {
             state: RwLock::default(),
             lease_until: AtomicU64::new(0),
             lease_extended: Notify::new(),
-            returned: Mutex::default(),
-            given_up: Notify::new(),
+            released: Mutex::default(),
+            lease_released: Notify::new(),
             seals: Mutex::default(),
             sealed: Notify::new(),
         };
@@ -110,15 +110,15 @@
         drop(self.symptoms.try_send(symptom));
     }
 
-    /// Records that the returning lease of a group is given up: the keeper has closed
+    /// Records that the returning lease of a group is released: the keeper has closed
     /// all connections of the group.
-    pub fn give_up(&self, group: Name) {
-        let mut returned = self.shared.returned.lock().unwrap_or_else(PoisonError::into_inner);
-        if !returned.contains(&group) {
-            returned.push(group);
+    pub fn release_lease(&self, group: Name) {
+        let mut released = self.shared.released.lock().unwrap_or_else(PoisonError::into_inner);
+        if !released.contains(&group) {
+            released.push(group);
         }
-        drop(returned);
-        self.shared.given_up.notify_one();
+        drop(released);
+        self.shared.lease_released.notify_one();
     }
 
     /// Records that the keeper has ended its work for the earlier primaries of a
@@ -141,14 +141,14 @@
         seals.values().cloned().collect()
     }
 
-    /// Waits until the lease of a group is given up.
-    pub async fn wait_for_given_up_lease(&self) {
-        self.shared.given_up.notified().await;
+    /// Waits until the lease of a group is released.
+    pub async fn wait_for_released_lease(&self) {
+        self.shared.lease_released.notified().await;
     }
 
-    /// Returns the groups whose leases were given up since the last call.
-    pub fn take_returned(&self) -> Vec<Name> {
-        let mut returned = self.shared.returned.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut returned)
+    /// Returns the groups whose leases were released since the last call.
+    pub fn take_released(&self) -> Vec<Name> {
+        let mut released = self.shared.released.lock().unwrap_or_else(PoisonError::into_inner);
+        std::mem::take(&mut released)
     }
 }
--- a/components/entry/tests/follow.rs
+++ b/components/entry/tests/follow.rs
@@ -6,7 +6,7 @@
 use base::prelude::*;
 use entry::View;
 use entry::follow;
-use entry::follow::progress::{Fault, Progress};
+use entry::follow::progress::{Failure, Progress};
 use link::{Key, Peer, Purpose, Reader, Writer};
 use tokio::net::TcpListener;
 use wire::control::{self as messages, Confirm, Down, Entries, Image, Up, down, up};
@@ -215,7 +215,7 @@
     view.write(|state| state.entries.clear());
     assert!(progress.check(later(10_500), &view, 0).is_ok());
     let report = progress.check(later(11_500), &view, 0).unwrap_err();
-    assert_eq!(*report.current_context(), Fault::Absent);
+    assert_eq!(*report.current_context(), Failure::Absent);
 }
 
 #[test]
@@ -239,7 +239,7 @@
 }
 
 #[tokio::test]
-async fn heartbeats_list_given_up_groups_until_their_leases_are_gone() {
+async fn heartbeats_list_released_groups_until_their_leases_are_gone() {
     let (listener, address) = listen().await;
     let entry = start(vec![address]);
     let (mut reader, _writer, _) = accept(&listener).await;
@@ -253,8 +253,8 @@
             returning: true,
         });
     });
-    entry.view.give_up(Name::new("g1").unwrap());
-    entry.view.give_up(Name::new("g2").unwrap());
+    entry.view.release_lease(Name::new("g1").unwrap());
+    entry.view.release_lease(Name::new("g2").unwrap());
     assert_eq!(next_heartbeat(&mut reader).await.returned, ["g1"]);
     assert_eq!(next_heartbeat(&mut reader).await.returned, ["g1"]);
     entry.view.write(|state| {
@@ -276,7 +276,7 @@
     }
     assert!(progress.check(later(3_900), &view, 750_000).is_ok());
     let report = progress.check(later(4_200), &view, 750_000).unwrap_err();
-    assert_eq!(*report.current_context(), Fault::Silent);
+    assert_eq!(*report.current_context(), Failure::Silent);
     // a message that takes too long does not keep the link alive
     let mut progress = Progress::new(start, join());
     progress.next_heartbeat(start, &view, &mut Vec::new());
--- a/components/entry/tests/front.rs
+++ b/components/entry/tests/front.rs
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn a_stopping_keeper_gets_no_new_request_after_the_farewell() {
+async fn a_stopping_keeper_gets_no_new_request_after_its_shutdown_message() {
     let shared = [(); 2].map(|()| std::sync::Arc::new(fake::Shared::default()));
     let first = fake::keeper("one", std::sync::Arc::clone(&shared[0])).await;
     let second = fake::keeper("two", std::sync::Arc::clone(&shared[1])).await;
--- a/components/entry/tests/keep.rs
+++ b/components/entry/tests/keep.rs
@@ -361,7 +361,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_returning_lease_is_given_up_once_all_is_finished() {
+async fn a_returning_lease_is_released_once_all_requests_are_finished() {
     let bench = bench().await;
     let mut front = Front::dial(bench.address).await;
     front.run_ok("CREATE TABLE coaches (number INTEGER)").await;
@@ -376,13 +376,13 @@
     let mut other = Front::dial(bench.address).await;
     while outcome(&other.sql("SELECT 1").await.1) != (Outcome::NotRun, Reason::WrongKeeper) {}
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert!(bench.view.take_returned().is_empty());
+    assert!(bench.view.take_released().is_empty());
     let (_, end) = front.run_in_transaction("COMMIT").await;
     assert_eq!(outcome(&end), DONE);
-    let given_up = async {
-        while bench.view.take_returned() != [name(GROUP)] {
+    let released = async {
+        while bench.view.take_released() != [name(GROUP)] {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(TIMEOUT, given_up).await.unwrap();
+    tokio::time::timeout(TIMEOUT, released).await.unwrap();
 }
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -1,5 +1,5 @@
-//! Events that the host feeds to a group, and effects that the group requests
-//! from the host.
+//! Events that the driver feeds to a group, and effects that the group requests
+//! from the driver.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use base::prelude::*;
 use bytes::Bytes;
 use config::{Declarations, Labels};
-use plain::Fault;
+use plain::ErrorKind;
 use wire::control::Symptom;
 use wire::data::{End, Outcome, Part, Reason, Run};
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Front(pub u64);
 
-/// An event that the host passes to a group.
+/// An event that the driver passes to a group.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A front requests the execution of one cycle: client messages that the
@@ -132,7 +132,7 @@
     /// Status byte of ReadyForQuery: I, T or E.
     pub status: u8,
     /// Error that ended the cycle, if any.
-    pub fault: Option<Fault>,
+    pub error_kind: Option<ErrorKind>,
     /// Last record visible to reads on the server.
     pub mark: Option<Mark>,
     /// When the first statement of the cycle was sent.
@@ -238,7 +238,7 @@
     pub expired: bool,
 }
 
-/// An action that the host must perform. Effects are performed in the order of
+/// An action that the driver must perform. Effects are performed in the order of
 /// their output.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
--- a/components/keeper/src/finish.rs
+++ b/components/keeper/src/finish.rs
@@ -360,7 +360,7 @@
     }
 
     /// Closes a connection. The connection counts against the limits until the
-    /// host confirms the close.
+    /// driver confirms the close.
     pub(crate) fn close_conn(&mut self, key: Key<Connection>, out: &mut Vec<Effect>) {
         self.unpin(key);
         let Some(conn) = self.conns.get_mut(key).filter(|conn| !conn.is_closing()) else {
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! A [`Group`] makes the decisions for one database group: which request runs
 //! next and on which server, when its answer may be released, and the outcome
-//! of a request whose connection was lost. A group performs no I/O: the host,
+//! of a request whose connection was lost. A group performs no I/O: the driver,
 //! which is the code that embeds the group, feeds it [`Event`]s and performs
 //! its [`Effect`]s.
 //!
--- a/components/keeper/src/unfenced.rs
+++ b/components/keeper/src/unfenced.rs
@@ -11,7 +11,7 @@
 mod stall;
 
 use base::prelude::*;
-use plain::Fault;
+use plain::ErrorKind;
 use route::Ring;
 use wire::data::{Class, Outcome, Reason};
 
@@ -274,7 +274,7 @@
         let Some(request) = self.requests.get_mut(key) else {
             return self.abort_conn(now, conn, out);
         };
-        let Reported { status, fault, mark, .. } = reported;
+        let Reported { status, error_kind, mark, .. } = reported;
         let (service, owner, orphan) = (request.service, request.owner(), request.orphan);
         let (within, writes) = (request.run.in_transaction, request.class != Class::Read);
         let attempt = &mut request.attempt;
@@ -284,9 +284,9 @@
             // without the lease, the server may no longer be the primary
             return self.abort_conn(now, conn, out);
         }
-        attempt.completion = Some(Completion { at: now, failed: fault.is_some() });
+        attempt.completion = Some(Completion { at: now, failed: error_kind.is_some() });
         attempt.status = status;
-        if writes && primary && status == IDLE && fault.is_none() {
+        if writes && primary && status == IDLE && error_kind.is_none() {
             attempt.mark_after = mark;
             attempt.durable = true;
         }
@@ -294,7 +294,7 @@
         if status == IDLE {
             self.unpin(conn);
             self.release_conn(now, conn);
-        } else if orphan || (!within && fault.is_some()) {
+        } else if orphan || (!within && error_kind.is_some()) {
             self.unpin(conn);
             self.roll_back(now, conn, out);
         } else {
@@ -302,9 +302,9 @@
             let origin = Origin { term: term.unwrap_or_default(), primary };
             self.pin(now, conn, owner, origin, service);
         }
-        match fault {
-            Some(fault) if fault.is_not_run() && !within && !orphan => {
-                self.retry_refused(now, conn, key, fault, out);
+        match error_kind {
+            Some(error_kind) if error_kind.is_not_run() && !within && !orphan => {
+                self.retry_refused(now, conn, key, error_kind, out);
             }
             _ => self.acknowledge(now, key, mark, out),
         }
@@ -342,24 +342,24 @@
         now: Instant,
         conn: Key<Connection>,
         key: Key<Request>,
-        fault: Fault,
+        error_kind: ErrorKind,
         out: &mut Vec<Effect>,
     ) {
         let server = self.conns.get(conn).map(|conn| conn.server);
         if let Some(server) = server.and_then(|key| self.servers.get_mut(key)) {
-            match fault {
-                Fault::Behind => server.lag = Lag { estimate: ASSUMED_LAG, observed_at: now },
-                Fault::Busy => server.full_until = now + BUSY_PAUSE,
+            match error_kind {
+                ErrorKind::Behind => server.lag = Lag { estimate: ASSUMED_LAG, observed_at: now },
+                ErrorKind::Busy => server.full_until = now + BUSY_PAUSE,
                 _ => {}
             }
         }
-        let wait = match fault {
-            Fault::Behind | Fault::Unprepared => Duration::ZERO,
-            Fault::Busy => BUSY_PAUSE,
+        let wait = match error_kind {
+            ErrorKind::Behind | ErrorKind::Unprepared => Duration::ZERO,
+            ErrorKind::Busy => BUSY_PAUSE,
             _ => NO_PRIMARY_PAUSE,
         };
         self.resend(now, key, wait);
-        if fault == Fault::ReadOnly {
+        if error_kind == ErrorKind::ReadOnly {
             self.report_health(now, out);
         }
     }
--- a/components/keeper/tests/unfenced/bench.rs
+++ b/components/keeper/tests/unfenced/bench.rs
@@ -9,7 +9,7 @@
 use keeper::{
     Connection, Effect, Event, Front, Group, Kind, Lease, Piece, Reported, Setup, Unfenced,
 };
-use plain::Fault;
+use plain::ErrorKind;
 use wire::control::Condition;
 use wire::data::{Class, End, Run};
 
@@ -131,8 +131,14 @@
         }
     }
 
-    pub fn report(&mut self, conn: Key<Connection>, status: u8, fault: Option<Fault>, mark: Mark) {
-        let reported = Reported { status, fault, mark: Some(mark), sent: self.now };
+    pub fn report(
+        &mut self,
+        conn: Key<Connection>,
+        status: u8,
+        error_kind: Option<ErrorKind>,
+        mark: Mark,
+    ) {
+        let reported = Reported { status, error_kind, mark: Some(mark), sent: self.now };
         self.feed(Event::Reported { conn, reported });
     }
 
--- a/components/keeper/tests/unfenced/main.rs
+++ b/components/keeper/tests/unfenced/main.rs
@@ -7,7 +7,7 @@
 
 use base::prelude::*;
 use keeper::{Effect, Event};
-use plain::Fault;
+use plain::ErrorKind;
 use wire::data::{Outcome, Reason};
 
 use bench::{Bench, name, transaction};
@@ -104,7 +104,7 @@
     let mut bench = Bench::ready();
     let request = bench.write();
     let (conn, ..) = bench.sent()[0].clone();
-    bench.report(conn, b'I', Some(Fault::Busy), Mark::new(1, 100));
+    bench.report(conn, b'I', Some(ErrorKind::Busy), Mark::new(1, 100));
     assert!(bench.ends().is_empty());
     bench.pass(50);
     let sent = bench.sent();
--- a/components/keeper/tests/unfenced/overload.rs
+++ b/components/keeper/tests/unfenced/overload.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use keeper::{Connection, Effect};
-use plain::Fault;
+use plain::ErrorKind;
 use wire::data::{Class, End, Outcome, Reason, Run};
 
 use crate::bench::Bench;
@@ -68,7 +68,7 @@
         let sent = bench.sent();
         let (conn, server, ..) = sent.first().expect("a server to try").clone();
         assert_ne!(server, "server-0");
-        bench.report(conn, b'I', Some(Fault::Behind), Mark::new(1, 20));
+        bench.report(conn, b'I', Some(ErrorKind::Behind), Mark::new(1, 20));
     }
     bench.pass(20);
     let retried = bench.sent();
@@ -83,7 +83,7 @@
     let write = bench.write();
     let (conn, server, ..) = bench.sent()[0].clone();
     assert_eq!(server, "server-0");
-    bench.report(conn, b'I', Some(Fault::Busy), Mark::new(1, 130));
+    bench.report(conn, b'I', Some(ErrorKind::Busy), Mark::new(1, 130));
     // a read ends after the wait for a slot and before the write is resent
     bench.now += Duration::from_millis(5);
     bench.answer(retried[0].0, b'I', Mark::new(1, 130));
--- a/components/member/src/core.rs
+++ b/components/member/src/core.rs
@@ -30,7 +30,7 @@
 use crate::status::Steps;
 
 /// Largest number of inputs handled between two checks of the timer.
-const BURST: usize = 256;
+const BURST_INPUTS: usize = 256;
 
 /// Quorum ticks per tick of the control leader.
 const CONTROL_TICKS: u64 =
@@ -116,11 +116,11 @@
     pub(crate) async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut tick = tokio::time::interval(quorum::TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut burst = Vec::with_capacity(BURST);
+        let mut burst = Vec::with_capacity(BURST_INPUTS);
         self.links.update(self.replica.members());
         while !self.is_drained() {
             tokio::select! {
-                count = inputs.recv_many(&mut burst, BURST) => {
+                count = inputs.recv_many(&mut burst, BURST_INPUTS) => {
                     if count == 0 {
                         return;
                     }
--- a/components/member/src/entry.rs
+++ b/components/member/src/entry.rs
@@ -12,10 +12,10 @@
 
 /// Length of an entry's send queue. An entry whose queue is full is disconnected and
 /// reconnects.
-const QUEUE: usize = 512;
+const QUEUE_MESSAGES: usize = 512;
 
 /// Largest number of messages written per flush.
-const BURST: usize = 64;
+const BURST_MESSAGES: usize = 64;
 
 /// Longest wait for the first message of an entry.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(3);
@@ -32,7 +32,7 @@
     let Some(Up { body: Some(up::Body::Follow(follow)) }) = first else {
         return Err(Report::new(Failure::Malformed));
     };
-    let (sender, mut due) = mpsc::channel(QUEUE);
+    let (sender, mut due) = mpsc::channel(QUEUE_MESSAGES);
     let (reply, follower) = oneshot::channel();
     drop(core.send(Input::Follow { follow, sender, reply }).await);
     let Ok(key) = follower.await else {
@@ -81,8 +81,8 @@
     endpoint: &Endpoint,
     due: &mut mpsc::Receiver<Down>,
 ) -> Result<(), Report<Failure>> {
-    let mut burst = Vec::with_capacity(BURST);
-    while due.recv_many(&mut burst, BURST).await > 0 {
+    let mut burst = Vec::with_capacity(BURST_MESSAGES);
+    while due.recv_many(&mut burst, BURST_MESSAGES).await > 0 {
         for down in burst.drain(..) {
             if endpoint.is_isolated() {
                 // the link is closed, since a dropped message would leave a gap in the log
--- a/components/member/src/host.rs
+++ b/components/member/src/host.rs
@@ -160,7 +160,7 @@
     let addresses =
         Addresses { link: address(&link, settings.link)?, web: address(&web, settings.web)? };
     let opened = disk::open(&settings.data, random_id())?;
-    let (core, inputs) = mpsc::channel(input::QUEUE);
+    let (core, inputs) = mpsc::channel(input::QUEUE_INPUTS);
     Ok(Bound { settings, link, web, addresses, opened, core, inputs })
 }
 
--- a/components/member/src/input.rs
+++ b/components/member/src/input.rs
@@ -11,7 +11,7 @@
 use crate::status::{Config, Status};
 
 /// Length of the core's input queue.
-pub(crate) const QUEUE: usize = 4_096;
+pub(crate) const QUEUE_INPUTS: usize = 4_096;
 
 /// Sender of inputs to the core.
 pub(crate) type Sender = mpsc::Sender<Input>;
--- a/components/member/src/peers.rs
+++ b/components/member/src/peers.rs
@@ -16,10 +16,10 @@
 use crate::link::Endpoint;
 
 /// Length of the send queue of one member.
-const QUEUE: usize = 1_024;
+const QUEUE_MESSAGES: usize = 1_024;
 
 /// Largest number of messages written per flush.
-const BURST: usize = 64;
+const BURST_MESSAGES: usize = 64;
 
 /// Delay between two attempts to dial a member.
 const REDIAL_DELAY: Duration = Duration::from_millis(100);
@@ -107,7 +107,7 @@
         if known || member.id == self.endpoint.own.id {
             return;
         }
-        let (queue, due) = mpsc::channel(QUEUE);
+        let (queue, due) = mpsc::channel(QUEUE_MESSAGES);
         self.scope.spawn(run(address, member.id, self.endpoint.clone(), due));
         self.by_id.insert(member.id, Link { address, queue });
     }
@@ -153,7 +153,7 @@
     if hello.member.as_ref().is_none_or(|member| member.id != id) {
         return Err(Report::new(Failure::Unauthenticated));
     }
-    let mut burst = Vec::with_capacity(BURST);
+    let mut burst = Vec::with_capacity(BURST_MESSAGES);
     // time of the oldest flush since the last confirmation
     let mut unconfirmed_since: Option<Instant> = None;
     loop {
@@ -167,7 +167,7 @@
             }
             () = sleep_until(deadline.unwrap_or_else(Instant::now)),
                 if deadline.is_some() => return Err(Report::new(Failure::Timeout)),
-            count = due.recv_many(&mut burst, BURST) => {
+            count = due.recv_many(&mut burst, BURST_MESSAGES) => {
                 if count == 0 {
                     return Ok(());
                 }
--- a/components/member/src/probe.rs
+++ b/components/member/src/probe.rs
@@ -19,7 +19,7 @@
 use crate::input::{Input, Sender};
 
 /// Length of the request queue of one connection.
-const QUEUE: usize = 16;
+const QUEUE_REQUESTS: usize = 16;
 
 /// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -73,7 +73,7 @@
         let target = Target { server, address, order: ask != Ask::Status };
         self.queues.retain(|_, queue| !queue.is_closed());
         if !self.queues.contains_key(&target) {
-            let (queue, due) = mpsc::channel(QUEUE);
+            let (queue, due) = mpsc::channel(QUEUE_REQUESTS);
             match self.adapter.clone().filter(|_| unfenced) {
                 Some(adapter) => {
                     let access = Unfenced { group: group.clone(), own: self.own.clone(), adapter };
--- a/components/pg/tests/cycles.rs
+++ b/components/pg/tests/cycles.rs
@@ -21,7 +21,7 @@
 
 /// Size in bytes of the random input of one seed; `arbtest` takes it from the low 32 bits
 /// of its seed.
-const SIZE: u64 = 4_096;
+const INPUT_BYTES: u64 = 4_096;
 
 /// Caller on the shared connection, with a dedicated connection for comparison.
 #[derive(Debug, Default)]
@@ -197,7 +197,7 @@
             }
             Ok(())
         })
-        .seed(seed << 32 | SIZE)
+        .seed(seed << 32 | INPUT_BYTES)
         .run();
     }
 }
@@ -238,7 +238,7 @@
             drop(pg::startup::take(&mut packet));
             Ok(())
         })
-        .seed(seed << 32 | SIZE)
+        .seed(seed << 32 | INPUT_BYTES)
         .run();
     }
 }
@@ -266,7 +266,7 @@
             }
             Ok(())
         })
-        .seed(seed << 32 | SIZE)
+        .seed(seed << 32 | INPUT_BYTES)
         .run();
     }
 }
--- a/components/plain/src/lib.rs
+++ b/components/plain/src/lib.rs
@@ -12,5 +12,5 @@
 
 pub use answer::{Answer, Problem, Status};
 pub use dialect::{Dialect, Malformed};
-pub use server::{Fault, Order, Reply};
+pub use server::{ErrorKind, Order, Reply};
 pub use statement::{Access, Query, Request, Statement};
--- a/components/plain/src/server.rs
+++ b/components/plain/src/server.rs
@@ -77,7 +77,7 @@
     /// Error of a statement or of the start of a session.
     Error {
         /// Class of the error.
-        fault: Fault,
+        error_kind: ErrorKind,
         /// Error as received.
         text: Bytes,
     },
@@ -94,7 +94,7 @@
 /// Class of an error of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Fault {
+pub enum ErrorKind {
     /// The statement was not run: the server has no free slot.
     Busy,
     /// The statement was not run: the server has not reached the required position.
@@ -112,7 +112,7 @@
     Failed,
 }
 
-impl Fault {
+impl ErrorKind {
     /// Whether the statement is proved not to have run.
     pub fn is_not_run(self) -> bool {
         self != Self::Failed
--- a/programs/trefoil-slope/src/cmd/restart.rs
+++ b/programs/trefoil-slope/src/cmd/restart.rs
@@ -16,7 +16,7 @@
 
 /// Changes between two snapshots of the measured journal. A control member takes
 /// snapshots less often.
-const SNAPSHOT_EVERY: u64 = 1_024;
+const CHANGES_PER_SNAPSHOT: u64 = 1_024;
 
 /// Error of a measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
@@ -69,7 +69,7 @@
         let index = state.index + 1;
         state.apply(index, &command);
         let entries = vec![Entry { index, bytes: command.encode_to_vec() }];
-        let is_snapshot_due = (number + 1).is_multiple_of(SNAPSHOT_EVERY);
+        let is_snapshot_due = (number + 1).is_multiple_of(CHANGES_PER_SNAPSHOT);
         let snapshot = is_snapshot_due.then(|| Snapshot { index, bytes: state.encode() });
         if let Some(snapshot) = &snapshot {
             snapshot_bytes = snapshot.bytes.len();
